--- a/crates/fleet/examples/decision_cost.rs
+++ b/crates/fleet/examples/decision_cost.rs
@@ -81,11 +81,11 @@
         gap_ms: SpanMs(300),
         target_ms,
         target_left_ms: target_ms,
-        silence_left_ms: target_ms * 4.0,
+        caller_timeout_left_ms: target_ms * 4.0,
         deadline_left_ms: 15_000.0,
-        readiness: 1.0,
-        begun: false,
-        pressing: true,
+        cost_limit: 1.0,
+        partly_answered: false,
+        wait_expired: true,
     }
 }
 
--- a/crates/fleet/src/placement/cost.rs
+++ b/crates/fleet/src/placement/cost.rs
@@ -40,13 +40,13 @@
 /// A late answer still counts something, and the less the nearer it is to the moment at which the
 /// caller gives up.
 pub fn lateness(first_event_ms: f64, writing_ms: f64, demand: &Demand) -> f64 {
-    if first_event_ms >= demand.silence_left_ms
+    if first_event_ms >= demand.caller_timeout_left_ms
         || first_event_ms + writing_ms >= demand.deadline_left_ms
     {
         return 1.0;
     }
     let due_ms = demand.target_left_ms.max(1.0);
-    let overdue = (first_event_ms - due_ms) / (demand.silence_left_ms - due_ms).max(1.0);
+    let overdue = (first_event_ms - due_ms) / (demand.caller_timeout_left_ms - due_ms).max(1.0);
     first_loss(first_event_ms, due_ms) + (1.0 - LATE_LOSS) * overdue.clamp(0.0, 1.0)
 }
 
--- a/crates/fleet/src/placement/mod.rs
+++ b/crates/fleet/src/placement/mod.rs
@@ -47,17 +47,17 @@
     /// The time left of it.
     pub target_left_ms: f64,
     /// The time left until its caller gives up waiting for a first event.
-    pub silence_left_ms: f64,
+    pub caller_timeout_left_ms: f64,
     /// The time left to its deadline.
     pub deadline_left_ms: f64,
     /// The part of its weight that its placement may cost: it rises from little to all of it while
     /// the request waits, so that a request with time to spare lets others end first.
-    pub readiness: f64,
+    pub cost_limit: f64,
     /// Whether its caller has a part of the answer. It is then placed wherever it fits: a stream
     /// that breaks off midway is worse for its caller than one that is late for others.
-    pub begun: bool,
+    pub partly_answered: bool,
     /// Whether it has waited for as long as it may, and is placed whatever others lose.
-    pub pressing: bool,
+    pub wait_expired: bool,
 }
 
 /// An engine that may take work.
--- a/crates/fleet/src/placement/search.rs
+++ b/crates/fleet/src/placement/search.rs
@@ -76,14 +76,14 @@
     let asked = Asked::of(spec, fleet, demand);
     let price = price(&asked, fleet);
     // Spares the search below, which requests that wait would else repeat at each look.
-    if !demand.begun && price > asked.weight {
+    if !demand.partly_answered && price > asked.weight {
         return Err(overloaded(&asked, price));
     }
     let Some((cost, placement)) = Search::open(asked, fleet).best() else {
         let retry_after_ms = retry_after_ms(demand);
         return Err(Refusal::NoRoom { retry_after_ms });
     };
-    if !demand.begun && cost + price > allowed(&asked, placement.first_event_ms) {
+    if !demand.partly_answered && cost + price > allowed(&asked, placement.first_event_ms) {
         return Err(overloaded(&asked, cost + price));
     }
     Ok(placement)
@@ -93,7 +93,7 @@
 fn price(asked: &Asked<'_>, fleet: &Fleet<'_>) -> f64 {
     let prices = Prices::of(asked.spec, fleet);
     let price = prices.paid(asked.read_ms, asked.weight);
-    match asked.demand.pressing {
+    match asked.demand.wait_expired {
         true => price * PRESSING_PRICE,
         false => price,
     }
@@ -104,8 +104,8 @@
 fn allowed(asked: &Asked<'_>, first_event_ms: f64) -> f64 {
     let first_event_ms = SpanMs(first_event_ms as u64);
     let target_ms = SpanMs(asked.demand.target_ms as u64);
-    let expected = WaitTimeouts::readiness_gained(first_event_ms, target_ms);
-    asked.weight * (asked.demand.readiness + expected).min(1.0)
+    let expected = WaitTimeouts::cost_limit_gained(first_event_ms, target_ms);
+    asked.weight * (asked.demand.cost_limit + expected).min(1.0)
 }
 
 fn overloaded(asked: &Asked<'_>, cost: f64) -> Refusal {
--- a/crates/fleet/src/placement/survey.rs
+++ b/crates/fleet/src/placement/survey.rs
@@ -92,7 +92,7 @@
     /// read nothing, since those that came first would else begin last; one that has waited for as
     /// long as it may goes ahead.
     fn goes_ahead(&self) -> bool {
-        !self.is_long() || self.demand.pressing
+        !self.is_long() || self.demand.wait_expired
     }
 
     /// Whether it is read for so long that writers beside it would pause for too long.
--- a/crates/fleet/src/waiting/mod.rs
+++ b/crates/fleet/src/waiting/mod.rs
@@ -45,9 +45,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WaitTimeouts {
     /// The longest wait at the node.
-    pub longest_ms: SpanMs,
+    pub max_wait_ms: SpanMs,
     /// How long the caller waits for a first event.
-    pub silence_ms: SpanMs,
+    pub caller_timeout_ms: SpanMs,
 }
 
 impl WaitTimeouts {
@@ -56,14 +56,14 @@
         let targets_ms = SpanMs(target_ms.0 * TARGETS);
         let pauses_ms = SpanMs(gap_ms.0 * PAUSES);
         Self {
-            longest_ms: target_ms.mul_f64(WAITING_PART).max(LEAST_WAIT_MS),
-            silence_ms: LEAST_SILENCE_MS.max(targets_ms).max(pauses_ms),
+            max_wait_ms: target_ms.mul_f64(WAITING_PART).max(LEAST_WAIT_MS),
+            caller_timeout_ms: LEAST_SILENCE_MS.max(targets_ms).max(pauses_ms),
         }
     }
 
     /// Whether waiting helps a request that would cost so much now, in hundredths of its weight, and
     /// that free engines would read `in_time`.
-    pub fn may_help(cost_pct: u32, in_time: bool) -> bool {
+    pub fn waiting_may_help(cost_pct: u32, in_time: bool) -> bool {
         match in_time {
             true => cost_pct < HOPELESS_PCT,
             false => cost_pct < HOPELESS_LATE_PCT,
@@ -72,12 +72,12 @@
 
     /// The part of its weight that a request's placement may cost after it has waited for
     /// `waited_ms` of the time to its target.
-    pub fn readiness(waited_ms: SpanMs, target_ms: SpanMs) -> f64 {
-        (FIRST_READINESS + Self::readiness_gained(waited_ms, target_ms)).min(1.0)
+    pub fn cost_limit(waited_ms: SpanMs, target_ms: SpanMs) -> f64 {
+        (FIRST_READINESS + Self::cost_limit_gained(waited_ms, target_ms)).min(1.0)
     }
 
     /// What `spent_ms` of the time to the target, waited or expected, add to that part.
-    pub fn readiness_gained(spent_ms: SpanMs, target_ms: SpanMs) -> f64 {
+    pub fn cost_limit_gained(spent_ms: SpanMs, target_ms: SpanMs) -> f64 {
         let share = spent_ms.0 as f64 / target_ms.0.max(1) as f64;
         share / FULL_AT_SHARE
     }
--- a/crates/fleet/tests/placement.rs
+++ b/crates/fleet/tests/placement.rs
@@ -52,11 +52,11 @@
         gap_ms: SpanMs(gap_ms),
         target_ms: target_ms as f64,
         target_left_ms: target_ms as f64,
-        silence_left_ms: timeouts.silence_ms.0 as f64,
+        caller_timeout_left_ms: timeouts.caller_timeout_ms.0 as f64,
         deadline_left_ms: 15_000.0,
-        readiness: 1.0,
-        begun: false,
-        pressing: false,
+        cost_limit: 1.0,
+        partly_answered: false,
+        wait_expired: false,
     }
 }
 
@@ -238,7 +238,7 @@
     world.now_ms = world.now_ms + SpanMs(100);
     let busy: Vec<ReplicaKey> = first.helpers.iter().copied().chain([first.first]).collect();
     let mut patient = demand(182_000);
-    patient.readiness = 0.25;
+    patient.cost_limit = 0.25;
     match world.place(&patient) {
         Err(Refusal::Overloaded { .. }) => {}
         Ok((_, second)) => {
@@ -284,7 +284,7 @@
 fn memory_that_is_taken_is_not_given_twice() {
     let mut world = World::new(2);
     let mut long = demand(210_000);
-    long.pressing = true;
+    long.wait_expired = true;
     let first = world.writes(&long);
     world.now_ms = world.now_ms + SpanMs(5_000);
     let second = world.writes(&long);
@@ -336,7 +336,7 @@
     let mut rest = demand(5_000);
     rest.target_left_ms = 0.0;
     assert!(world.place(&rest).is_err(), "a new one waits");
-    rest.begun = true;
+    rest.partly_answered = true;
     assert!(world.place(&rest).is_ok());
 }
 
@@ -351,7 +351,7 @@
             world.write_at(number % 12, number, stage);
         }
         let mut long = demand(300_000);
-        long.pressing = true;
+        long.wait_expired = true;
         if let Ok((_, placement)) = world.place(&long) {
             assert!(placement.part_ms < 1_000.0, "{stage:?}: {placement:?}");
         }
@@ -401,7 +401,7 @@
     let sound_ms = spec().read_ms(Tokens(20_000)) / (1 + placement.helpers.len()) as f64;
     assert!(placement.first_event_ms > 2.0 * sound_ms - 1.0);
     let mut late = demand(5_000);
-    late.pressing = true;
+    late.wait_expired = true;
     for engine in 0..4 {
         world.slow_down(engine, 8.0);
     }
@@ -522,7 +522,7 @@
             gap_ms: SpanMs(usual.gap_ms.0 / 2),
             target_ms: usual.target_ms / 2.0,
             target_left_ms: usual.target_left_ms / 2.0,
-            silence_left_ms: usual.silence_left_ms / 2.0,
+            caller_timeout_left_ms: usual.caller_timeout_left_ms / 2.0,
             deadline_left_ms: usual.deadline_left_ms / 2.0,
             ..usual.clone()
         };
--- a/crates/fleet/tests/sizes.rs
+++ b/crates/fleet/tests/sizes.rs
@@ -132,7 +132,7 @@
         } = self.requests[at];
         let waited_ms = now_ms.since(arrived_ms);
         let timeouts = WaitTimeouts::of(TARGET_MS, GAP_MS);
-        let pressing = waited_ms >= timeouts.longest_ms;
+        let wait_expired = waited_ms >= timeouts.max_wait_ms;
         let left_ms = |span_ms: u64| span_ms.saturating_sub(waited_ms.0) as f64;
         let demand = Demand {
             prompt_tokens: tokens,
@@ -140,11 +140,11 @@
             gap_ms: GAP_MS,
             target_ms: TARGET_MS.0 as f64,
             target_left_ms: left_ms(TARGET_MS.0),
-            silence_left_ms: left_ms(timeouts.silence_ms.0),
+            caller_timeout_left_ms: left_ms(timeouts.caller_timeout_ms.0),
             deadline_left_ms: left_ms(15_000),
-            readiness: WaitTimeouts::readiness(waited_ms, TARGET_MS),
-            begun: false,
-            pressing,
+            cost_limit: WaitTimeouts::cost_limit(waited_ms, TARGET_MS),
+            partly_answered: false,
+            wait_expired,
         };
         let keys = (0..self.pattern.engines).map(ReplicaKey);
         let fleet = Fleet::of(keys, self.ledger.loads(now_ms), 1, 0);
@@ -152,8 +152,8 @@
             Ok(placement) => self.begin(at, placement, now_ms),
             Err(Refusal::Overloaded {
                 cost_pct, in_time, ..
-            }) if !pressing && WaitTimeouts::may_help(cost_pct, in_time) => {}
-            Err(Refusal::NoRoom { .. }) if !pressing => {}
+            }) if !wait_expired && WaitTimeouts::waiting_may_help(cost_pct, in_time) => {}
+            Err(Refusal::NoRoom { .. }) if !wait_expired => {}
             Err(_) => self.requests[at].placed = Some(false),
         }
     }
--- a/crates/front/src/call/choose.rs
+++ b/crates/front/src/call/choose.rs
@@ -64,10 +64,10 @@
     let look_ms = LOOK_EVERY_MS.max(SpanMs(call.route.target_ms.0 / LOOKS));
     loop {
         let waited_ms = call.age_ms();
-        let over = waited_ms >= timeouts.longest_ms;
+        let over = waited_ms >= timeouts.max_wait_ms;
         let pressing = if over { Pressing::Waited } else { Pressing::No };
         let refusal = match choose_now(call, avoid, pressing) {
-            Err(refusal) if !over && may_pass(&refusal, timeouts.longest_ms, waited_ms) => refusal,
+            Err(refusal) if !over && may_pass(&refusal, timeouts.max_wait_ms, waited_ms) => refusal,
             result => return result,
         };
         if call.left_ms() <= look_ms {
@@ -78,17 +78,17 @@
 }
 
 /// Whether a refusal of a request that has waited for `waited_ms` may be gone before it has waited for
-/// `longest_ms`.
-fn may_pass(refusal: &Refusal, longest_ms: SpanMs, waited_ms: SpanMs) -> bool {
+/// `max_wait_ms`.
+fn may_pass(refusal: &Refusal, max_wait_ms: SpanMs, waited_ms: SpanMs) -> bool {
     match refusal {
         Refusal::Limited {
             retry_after_ms,
             here,
-        } => *here && waited_ms.0 + retry_after_ms.0 < longest_ms.0,
+        } => *here && waited_ms.0 + retry_after_ms.0 < max_wait_ms.0,
         Refusal::NoRoom { .. } => true,
         Refusal::Overloaded {
             cost_pct, in_time, ..
-        } => WaitTimeouts::may_help(*cost_pct, *in_time),
+        } => WaitTimeouts::waiting_may_help(*cost_pct, *in_time),
         Refusal::NoReplica | Refusal::TooLong | Refusal::Quarantined { .. } => false,
     }
 }
@@ -328,11 +328,11 @@
         gap_ms: gap_ms(call),
         target_ms: call.route.target_ms.0 as f64,
         target_left_ms: target_at_ms.since(now_ms).0 as f64,
-        silence_left_ms: call.silence_left_ms().0 as f64,
+        caller_timeout_left_ms: call.caller_timeout_left_ms().0 as f64,
         deadline_left_ms: call.deadline_ms.since(now_ms).0 as f64,
-        readiness: WaitTimeouts::readiness(call.age_ms(), call.route.target_ms),
-        begun: pressing == Pressing::Begun,
-        pressing: pressing != Pressing::No,
+        cost_limit: WaitTimeouts::cost_limit(call.age_ms(), call.route.target_ms),
+        partly_answered: pressing == Pressing::Begun,
+        wait_expired: pressing != Pressing::No,
     }
 }
 
--- a/crates/front/src/call/mod.rs
+++ b/crates/front/src/call/mod.rs
@@ -95,8 +95,8 @@
     }
 
     /// The time left until its caller gives up waiting for a first event.
-    pub fn silence_left_ms(&self) -> SpanMs {
-        (self.arrived_ms + self.wait_timeouts().silence_ms).since(self.node.now_ms())
+    pub fn caller_timeout_left_ms(&self) -> SpanMs {
+        (self.arrived_ms + self.wait_timeouts().caller_timeout_ms).since(self.node.now_ms())
     }
 
     /// The time left to its deadline.
--- a/crates/front/src/call/pump.rs
+++ b/crates/front/src/call/pump.rs
@@ -173,7 +173,7 @@
         let node = &self.call.node;
         let now_ms = node.now_ms();
         let reading_ms = node.with(|s| s.ledger.backlog_ms(self.chosen.key, now_ms));
-        let given_up_ms = self.last_event_ms + self.call.wait_timeouts().silence_ms;
+        let given_up_ms = self.last_event_ms + self.call.wait_timeouts().caller_timeout_ms;
         let left_ms = self.call.left_ms().min(given_up_ms.since(now_ms));
         silence::more(Some(reading_ms), left_ms, self.chosen.expected_ms)
     }
--- a/crates/front/src/call/stream.rs
+++ b/crates/front/src/call/stream.rs
@@ -127,7 +127,7 @@
         if memory_ms < silent_ms {
             continue;
         }
-        let left_ms = call.left_ms().min(call.silence_left_ms());
+        let left_ms = call.left_ms().min(call.caller_timeout_left_ms());
         match silence::more(reading_left_ms(), left_ms, expected_ms) {
             Some(more_ms) if others => until_ms = call.node.now_ms() + more_ms,
             _ if others && left_ms > SpanMs::ZERO && has_no_other_place(call, avoid) => {
