--- a/crates/fleet/src/ledger/load.rs
+++ b/crates/fleet/src/ledger/load.rs
@@ -82,7 +82,7 @@
     /// The time of a pass that also reads for `reading_ms`.
     pub fn pass_ms(&self, spec: &EngineSpec, reading_ms: f64) -> f64 {
         let writing_ms = spec.pass_ms(self.writers, self.context_tokens);
-        writing_ms * self.pace.times() + reading_ms
+        writing_ms * self.pace.slowdown() + reading_ms
     }
 
     pub(super) fn is_idle(&self) -> bool {
--- a/crates/fleet/src/ledger/queue.rs
+++ b/crates/fleet/src/ledger/queue.rs
@@ -38,7 +38,7 @@
 impl ReadQueue {
     /// Takes off what was read since the queue was last looked at.
     pub fn advance(&mut self, now_ms: MonoMs) {
-        let mut passed_ms = now_ms.since(self.at_ms).0 as f64 / self.pace.times();
+        let mut passed_ms = now_ms.since(self.at_ms).0 as f64 / self.pace.slowdown();
         self.at_ms = self.at_ms.max(now_ms);
         for part in &mut self.parts {
             let read_ms = part.left_ms.min(passed_ms);
@@ -68,9 +68,9 @@
     /// The parts, with the time from now at which each is read.
     pub fn ends(&self) -> impl Iterator<Item = (WorkId, f64)> {
         let mut end_ms = 0.0;
-        let times = self.pace.times();
+        let slowdown = self.pace.slowdown();
         self.parts.iter().map(move |part| {
-            end_ms += part.left_ms * times;
+            end_ms += part.left_ms * slowdown;
             (part.work, end_ms)
         })
     }
@@ -78,7 +78,7 @@
     /// All that is left to read, as time.
     pub fn backlog_ms(&self) -> f64 {
         let left_ms: f64 = self.parts.iter().map(|part| part.left_ms).sum();
-        left_ms * self.pace.times()
+        left_ms * self.pace.slowdown()
     }
 
     /// Whether no prompt is being read.
--- a/crates/fleet/src/limit/share.rs
+++ b/crates/fleet/src/limit/share.rs
@@ -48,14 +48,14 @@
 impl Share {
     /// The share of the node in a limit of `rate` that `replica` named.
     pub fn of(nodes: &Nodes<'_>, replica: ReplicaKey, rate: PerSecond) -> Self {
-        let place = rendezvous::place(nodes.own, nodes.heard, replica);
+        let rank = rendezvous::rank(nodes.own, nodes.heard, replica);
         let heard = nodes.heard.len() + 1;
         let holders = (rate.0 as usize).clamp(1, heard);
         let part = heard as f64 / (nodes.known + 1).max(heard) as f64;
         let held = rate.0.max(LEAST_RATE.0) * part / holders as f64;
         Self {
-            rate: PerSecond(if place < holders { held } else { 0.0 }),
-            tells: place < TELLERS,
+            rate: PerSecond(if rank < holders { held } else { 0.0 }),
+            tells: rank < TELLERS,
         }
     }
 }
--- a/crates/fleet/src/pace/mod.rs
+++ b/crates/fleet/src/pace/mod.rs
@@ -20,7 +20,7 @@
 use crate::replicas::ReplicaKey;
 
 /// How often an engine is probed.
-pub const PROBE_EVERY_MS: SpanMs = SpanMs(1_000);
+pub const PROBE_INTERVAL_MS: SpanMs = SpanMs(1_000);
 
 /// How long a report about an engine counts: two lost probes don't end it.
 const BELIEVED_MS: SpanMs = SpanMs(3_500);
@@ -39,17 +39,17 @@
     /// As configured.
     pub const SOUND: Self = Self(1.0);
 
-    /// The pace of an engine that takes `times` as long as configured; an engine is never taken to
+    /// The pace of an engine that takes `slowdown` as long as configured; an engine is never taken to
     /// be faster than that.
-    pub fn new(times: f64) -> Self {
-        match times > SOUND {
-            true => Self(times.min(SLOWEST)),
+    pub fn new(slowdown: f64) -> Self {
+        match slowdown > SOUND {
+            true => Self(slowdown.min(SLOWEST)),
             false => Self::SOUND,
         }
     }
 
     /// How many times as long work takes.
-    pub fn times(self) -> f64 {
+    pub fn slowdown(self) -> f64 {
         self.0
     }
 
@@ -75,9 +75,9 @@
     type Err = ParsePaceError;
 
     fn from_str(text: &str) -> Result<Self, ParsePaceError> {
-        let times = text.strip_prefix('x').and_then(|t| t.parse::<f64>().ok());
-        let times = times.filter(|times| times.is_finite());
-        times.map(Self::new).ok_or(ParsePaceError)
+        let slowdown = text.strip_prefix('x').and_then(|t| t.parse::<f64>().ok());
+        let slowdown = slowdown.filter(|slowdown| slowdown.is_finite());
+        slowdown.map(Self::new).ok_or(ParsePaceError)
     }
 }
 
@@ -125,6 +125,6 @@
 }
 
 /// Whether `own` is the one of the nodes that probes an engine.
-pub fn probes(own: OwnerId, peers: &[OwnerId], engine: ReplicaKey) -> bool {
-    rendezvous::place(own, peers, engine) == 0
+pub fn is_prober(own: OwnerId, peers: &[OwnerId], engine: ReplicaKey) -> bool {
+    rendezvous::rank(own, peers, engine) == 0
 }
--- a/crates/fleet/src/placement/cost.rs
+++ b/crates/fleet/src/placement/cost.rs
@@ -57,7 +57,7 @@
 
 /// The part of a writer's weight that passes of `pass_ms` put at risk of being given up.
 fn stall_loss(pass_ms: f64, gap_ms: f64) -> f64 {
-    let silence_ms = silence::between_events(SpanMs(gap_ms as u64));
+    let silence_ms = silence::pause_timeout(SpanMs(gap_ms as u64));
     STALL_LOSS * risk(pass_ms / silence_ms.0 as f64, STALL_FROM)
 }
 
@@ -87,7 +87,7 @@
         if self.load.writers == 0 {
             return 0.0;
         }
-        let after_ms = self.before_ms + part_ms * self.load.pace.times();
+        let after_ms = self.before_ms + part_ms * self.load.pace.slowdown();
         writers_loss(self.load, after_ms) - self.before
     }
 }
--- a/crates/fleet/src/placement/price.rs
+++ b/crates/fleet/src/placement/price.rs
@@ -64,7 +64,10 @@
     pub fn of(spec: &EngineSpec, fleet: &Fleet) -> Self {
         let candidates = &fleet.candidates;
         let count = candidates.len().max(1) as f64;
-        let sound: f64 = candidates.iter().map(|c| 1.0 / c.load.pace.times()).sum();
+        let sound: f64 = candidates
+            .iter()
+            .map(|c| 1.0 / c.load.pace.slowdown())
+            .sum();
         let backlog_ms: f64 = candidates.iter().map(|c| c.load.backlog_ms).sum();
         let writers: u32 = candidates.iter().map(|c| c.load.writers).sum();
         let taken = f64::from(writers) / (count * f64::from(spec.slots.max(1)));
--- a/crates/fleet/src/placement/search.rs
+++ b/crates/fleet/src/placement/search.rs
@@ -248,7 +248,7 @@
         let mut ends: FxHashMap<WorkId, f64> = FxHashMap::default();
         for engine in engines {
             let load = engine.candidate.load;
-            let added_ms = part.ms * load.pace.times();
+            let added_ms = part.ms * load.pace.slowdown();
             for (id, end_ms) in &load.ends {
                 let last_ms = ends.entry(*id).or_default();
                 *last_ms = last_ms.max(end_ms + added_ms);
@@ -264,7 +264,7 @@
             return 0.0;
         }
         let load = engine.candidate.load;
-        let added_ms = part.ms * load.pace.times();
+        let added_ms = part.ms * load.pace.slowdown();
         let ends = load.ends.iter();
         ends.map(|(id, end_ms)| self.delay(*id, end_ms + added_ms))
             .sum()
--- a/crates/fleet/src/placement/survey.rs
+++ b/crates/fleet/src/placement/survey.rs
@@ -164,12 +164,12 @@
         let Asked { spec, demand, .. } = *asked;
         let load = candidate.load;
         let pass_ms = load.pass_ms(spec, 0.0);
-        let times = load.pace.times();
+        let slowdown = load.pace.slowdown();
         let pass_tokens = spec.pass_tokens().0.max(1) as f64;
         let beside_ms = load
             .backlog_ms
-            .min(pass_tokens * 1000.0 / spec.read_per_s.max(1.0) * times);
-        let alone_pass_ms = spec.pass_ms(1, demand.prompt_tokens) * times;
+            .min(pass_tokens * 1000.0 / spec.read_per_s.max(1.0) * slowdown);
+        let alone_pass_ms = spec.pass_ms(1, demand.prompt_tokens) * slowdown;
         let own_pass_ms = load.pass_ms(spec, load.backlog_ms * OWN_PAUSE_PART);
         let free = memory::free(spec, &candidate);
         let needed = memory::needed(demand);
@@ -207,7 +207,7 @@
     /// and its first event comes at the end of its own, after all that is read in that.
     pub fn read_by_ms(&self, part: &Part) -> f64 {
         let load = self.candidate.load;
-        let own_ms = part.ms * load.pace.times();
+        let own_ms = part.ms * load.pace.slowdown();
         if load.writers == 0 {
             let waiting_ms = if part.shared { 0.0 } else { load.backlog_ms };
             return waiting_ms + own_ms;
--- a/crates/fleet/src/rendezvous/mod.rs
+++ b/crates/fleet/src/rendezvous/mod.rs
@@ -14,7 +14,7 @@
 use crate::replicas::ReplicaKey;
 
 /// The place of `own` among the nodes for a replica; the one with place 0 sees to it.
-pub fn place(own: OwnerId, peers: &[OwnerId], replica: ReplicaKey) -> usize {
+pub fn rank(own: OwnerId, peers: &[OwnerId], replica: ReplicaKey) -> usize {
     let rank = |node: OwnerId| {
         let mut hasher = FxHasher::default();
         hasher.write_u64(node.0);
--- a/crates/fleet/src/silence/mod.rs
+++ b/crates/fleet/src/silence/mod.rs
@@ -31,14 +31,14 @@
 
 /// How long an engine may be silent before its first event, where it was expected after
 /// `expected_ms`.
-pub fn before_first(expected_ms: f64) -> SpanMs {
+pub fn first_event_timeout(expected_ms: f64) -> SpanMs {
     SpanMs((expected_ms * FACTOR + LEAST_MS) as u64)
 }
 
 /// How much longer it may be silent where it still has `reading_ms` to read before this try's first
 /// event; none where it is to be given up. `left_ms` is how long the caller still waits, and a new
 /// try takes `anew_ms`.
-pub fn more(reading_ms: Option<f64>, left_ms: SpanMs, anew_ms: f64) -> Option<SpanMs> {
+pub fn timeout_extension(reading_ms: Option<f64>, left_ms: SpanMs, anew_ms: f64) -> Option<SpanMs> {
     let reading_ms = reading_ms.filter(|ms| *ms > 0.0)?;
     let more_ms = SpanMs((reading_ms + LAST_PASS_MS) as u64);
     let after_ms = left_ms.0.checked_sub(more_ms.0)?;
@@ -50,7 +50,7 @@
 ///
 /// An engine that hangs answers looks as one that reads does, and never begins: waiting for it to the
 /// caller's deadline kept its memory from other long prompts until then. What is still read by all that is known uses it.
-pub fn memory_left(reading_ms: Option<f64>, waited_ms: SpanMs) -> Option<SpanMs> {
+pub fn memory_extension(reading_ms: Option<f64>, waited_ms: SpanMs) -> Option<SpanMs> {
     let unused_ms = MEMORY_UNUSED_MS.0.saturating_sub(waited_ms.0) as f64;
     let reading_ms = reading_ms.filter(|ms| *ms > 0.0);
     let left_ms = unused_ms.max(reading_ms.map_or(0.0, |ms| ms + LAST_PASS_MS));
@@ -58,6 +58,6 @@
 }
 
 /// How long an engine may be silent between two events with `gap_ms` as the longest pause allowed.
-pub fn between_events(gap_ms: SpanMs) -> SpanMs {
+pub fn pause_timeout(gap_ms: SpanMs) -> SpanMs {
     SpanMs((gap_ms.0 * GAPS).max(LEAST_MS as u64))
 }
--- a/crates/fleet/tests/ledger.rs
+++ b/crates/fleet/tests/ledger.rs
@@ -165,7 +165,7 @@
     },
     Pace {
         engine: u32,
-        times: f64,
+        slowdown: f64,
     },
     Look {
         after_ms: u64,
@@ -222,7 +222,7 @@
         1 => (1u64..4).prop_map(Step::Owner),
         1 => id().prop_map(|(owner, below)| Step::Keep { owner, below }),
         1 => (0u64..2_000).prop_map(|before_ms| Step::Expire { before_ms }),
-        2 => (0u32..6, 0.5f64..6.0).prop_map(|(engine, times)| Step::Pace { engine, times }),
+        2 => (0u32..6, 0.5f64..6.0).prop_map(|(engine, slowdown)| Step::Pace { engine, slowdown }),
         4 => (0u64..400).prop_map(|after_ms| Step::Look { after_ms }),
     ]
 }
@@ -251,8 +251,8 @@
                     ledger.retain_owner(OwnerId(owner), |sequence| sequence < below);
                 }
                 Step::Expire { before_ms } => ledger.expire(MonoMs(before_ms)),
-                Step::Pace { engine, times } => {
-                    paces.note(ReplicaKey(engine), Pace::new(times), now_ms);
+                Step::Pace { engine, slowdown } => {
+                    paces.note(ReplicaKey(engine), Pace::new(slowdown), now_ms);
                     ledger.set_paces(&paces, now_ms);
                 }
                 Step::Look { after_ms } => {
--- a/crates/fleet/tests/pace.rs
+++ b/crates/fleet/tests/pace.rs
@@ -1,7 +1,7 @@
 //! How slow engines are, and who looks.
 
 use bluebell_base::prelude::*;
-use bluebell_fleet::pace::probes;
+use bluebell_fleet::pace::is_prober;
 use bluebell_fleet::prelude::*;
 
 /// Prompts wait for an engine that everyone takes to be sound: nobody looked at it, or its cost was
@@ -22,7 +22,7 @@
         };
         let looking = nodes
             .iter()
-            .filter(|own| probes(**own, &others(own), ReplicaKey(engine)));
+            .filter(|own| is_prober(**own, &others(own), ReplicaKey(engine)));
         looking.copied().collect()
     };
     let mut moved = 0;
@@ -38,7 +38,7 @@
     }
     assert!(moved < 10, "{moved}");
     assert!(
-        probes(nodes[0], &[], ReplicaKey(1)),
+        is_prober(nodes[0], &[], ReplicaKey(1)),
         "a node alone looks at all"
     );
 }
@@ -51,7 +51,7 @@
     let key = ReplicaKey(1);
     assert!(paces.note(key, Pace::new(4.0), MonoMs(1_000)));
     assert!(!paces.note(key, Pace::new(4.0), MonoMs(2_000)), "no gossip");
-    assert_eq!(paces.of(key, MonoMs(4_000)).times(), 4.0);
+    assert_eq!(paces.of(key, MonoMs(4_000)).slowdown(), 4.0);
     assert_eq!(paces.of(key, MonoMs(6_000)), Pace::SOUND);
     assert!(paces.note(key, Pace::new(4.0), MonoMs(7_000)));
     assert!(paces.note(key, Pace::new(1.0), MonoMs(7_500)));
@@ -60,13 +60,13 @@
 
 #[test]
 fn paces_are_read_as_they_are_written() {
-    for (times, text) in [
+    for (slowdown, text) in [
         (0.3, "x1.00"),
         (1.02, "x1.00"),
         (2.5, "x2.50"),
         (900.0, "x50.00"),
     ] {
-        let pace = Pace::new(times);
+        let pace = Pace::new(slowdown);
         assert_eq!(pace.to_string(), text);
         assert_eq!(text.parse(), Ok(pace));
     }
--- a/crates/fleet/tests/placement.rs
+++ b/crates/fleet/tests/placement.rs
@@ -88,8 +88,9 @@
         Fleet::of((0..self.engines).map(key), loads, 1, 0)
     }
 
-    fn slow_down(&mut self, engine: u32, times: f64) {
-        self.paces.note(key(engine), Pace::new(times), self.now_ms);
+    fn slow_down(&mut self, engine: u32, slowdown: f64) {
+        self.paces
+            .note(key(engine), Pace::new(slowdown), self.now_ms);
     }
 
     fn place(&mut self, demand: &Demand) -> Result<(WorkId, Placement), Refusal> {
--- a/crates/fleet/tests/silence.rs
+++ b/crates/fleet/tests/silence.rs
@@ -2,7 +2,9 @@
 
 use bluebell_base::prelude::*;
 use bluebell_fleet::prelude::*;
-use bluebell_fleet::silence::{before_first, between_events, memory_left, more};
+use bluebell_fleet::silence::{
+    first_event_timeout, memory_extension, pause_timeout, timeout_extension,
+};
 
 fn id(sequence: u32) -> WorkId {
     WorkId {
@@ -36,26 +38,29 @@
         let placed_ms = start_ms + SpanMs(u64::from(n) * 200);
         ledger.put(id(n), work(&[2, 3], 400.0, placed_ms), placed_ms);
     }
-    let limit_ms = before_first(1_000.0);
+    let limit_ms = first_event_timeout(1_000.0);
     let given_up_ms = start_ms + limit_ms;
     assert_eq!(limit_ms, SpanMs(3_700));
     let reading_ms = ledger.reading_left_ms(id(0), given_up_ms);
     assert_eq!(reading_ms, Some(1_700.0));
-    let waits_ms = more(reading_ms, SpanMs(8_000), 1_000.0).expect("it is worth it");
+    let waits_ms = timeout_extension(reading_ms, SpanMs(8_000), 1_000.0).expect("it is worth it");
     assert_eq!(waits_ms, SpanMs(2_200));
     // Everything is read by then, so a silence that lasts is one.
     let reading_ms = ledger.reading_left_ms(id(0), given_up_ms + waits_ms);
-    assert_eq!(more(reading_ms, SpanMs(8_000), 1_000.0), None);
+    assert_eq!(timeout_extension(reading_ms, SpanMs(8_000), 1_000.0), None);
 }
 
 /// An engine is waited for until its caller leaves, who then has nothing: while there is time for a
 /// new try, it is begun.
 #[test]
 fn a_new_try_gets_its_time() {
-    assert_eq!(more(Some(1_000.0), SpanMs(2_400), 1_000.0), None);
-    assert_eq!(more(Some(1_000.0), SpanMs(1_400), 100.0), None);
     assert_eq!(
-        more(Some(1_000.0), SpanMs(2_600), 1_000.0),
+        timeout_extension(Some(1_000.0), SpanMs(2_400), 1_000.0),
+        None
+    );
+    assert_eq!(timeout_extension(Some(1_000.0), SpanMs(1_400), 100.0), None);
+    assert_eq!(
+        timeout_extension(Some(1_000.0), SpanMs(2_600), 1_000.0),
         Some(SpanMs(1_500))
     );
 }
@@ -63,8 +68,8 @@
 /// Callers leave after two seconds of silence at the earliest, so a short pause is no reason yet.
 #[test]
 fn pauses_are_borne_for_several_times_what_is_on_time() {
-    assert_eq!(between_events(SpanMs(250)), SpanMs(1_700));
-    assert_eq!(between_events(SpanMs(1_000)), SpanMs(5_000));
+    assert_eq!(pause_timeout(SpanMs(250)), SpanMs(1_700));
+    assert_eq!(pause_timeout(SpanMs(1_000)), SpanMs(5_000));
 }
 
 /// An engine hung, and the memory that was set aside for its prompt at another lay idle for fourteen seconds.
@@ -79,7 +84,7 @@
         (Some(300.0), 2_000, Some(6_000)),
         (Some(300.0), 9_000, Some(800)),
     ] {
-        let left = memory_left(reading_ms, SpanMs(waited_ms));
+        let left = memory_extension(reading_ms, SpanMs(waited_ms));
         assert_eq!(left, left_ms.map(SpanMs), "{reading_ms:?} {waited_ms}");
     }
 }
--- a/crates/front/src/call/pump.rs
+++ b/crates/front/src/call/pump.rs
@@ -159,7 +159,7 @@
         if !resumable || self.tries >= self.call.route.max_attempts {
             return tokio::time::sleep(self.call.left_ms().into()).await;
         }
-        let mut limit_ms = silence::between_events(gap_ms).min(self.call.left_ms());
+        let mut limit_ms = silence::pause_timeout(gap_ms).min(self.call.left_ms());
         loop {
             tokio::time::sleep(limit_ms.into()).await;
             match self.more_silence() {
@@ -175,7 +175,7 @@
         let reading_ms = node.with(|s| s.ledger.backlog_ms(self.chosen.key, now_ms));
         let given_up_ms = self.last_event_ms + self.call.wait_timeouts().caller_timeout_ms;
         let left_ms = self.call.left_ms().min(given_up_ms.since(now_ms));
-        silence::more(Some(reading_ms), left_ms, self.chosen.expected_ms)
+        silence::timeout_extension(Some(reading_ms), left_ms, self.chosen.expected_ms)
     }
 
     /// Passes events on; returns whether the caller is still there.
--- a/crates/front/src/call/stream.rs
+++ b/crates/front/src/call/stream.rs
@@ -85,7 +85,7 @@
     let left_ms = call.left_ms();
     let others = call.route.kind.repeatable() && arrived_tries + 1 < call.route.max_attempts;
     let limit_ms = match others {
-        true => silence::before_first(chosen.expected_ms).min(left_ms),
+        true => silence::first_event_timeout(chosen.expected_ms).min(left_ms),
         false => left_ms,
     };
     let sent_ms = call.node.now_ms();
@@ -111,7 +111,7 @@
     };
     // A try that sets no memory aside waits as long as its engine may be silent.
     let memory_left_ms = |silent_ms| match sets_aside {
-        true => silence::memory_left(reading_left_ms(), call.node.now_ms().since(sent_ms)),
+        true => silence::memory_extension(reading_left_ms(), call.node.now_ms().since(sent_ms)),
         false => Some(silent_ms),
     };
     tokio::pin!(begin);
@@ -128,7 +128,7 @@
             continue;
         }
         let left_ms = call.left_ms().min(call.caller_timeout_left_ms());
-        match silence::more(reading_left_ms(), left_ms, expected_ms) {
+        match silence::timeout_extension(reading_left_ms(), left_ms, expected_ms) {
             Some(more_ms) if others => until_ms = call.node.now_ms() + more_ms,
             _ if others && left_ms > SpanMs::ZERO && has_no_other_place(call, avoid) => {
                 until_ms = call.node.now_ms() + LOOK_ELSEWHERE_MS.min(left_ms);
--- a/crates/front/src/gossip/outbox.rs
+++ b/crates/front/src/gossip/outbox.rs
@@ -95,7 +95,7 @@
     pub fn pace(&self, key: ReplicaKey, pace: Pace) {
         self.push(Gossip::Pace {
             replica: key.0,
-            pace_pct: (pace.times() * 100.0) as u32,
+            pace_pct: (pace.slowdown() * 100.0) as u32,
         });
     }
 
--- a/crates/front/src/watch/config.rs
+++ b/crates/front/src/watch/config.rs
@@ -48,7 +48,7 @@
 const UNFOUND_PAUSE_MS: SpanMs = SpanMs(2_000);
 
 /// How often a node that waits for a version checks whether it still hears its peers.
-pub(super) const PROBE_EVERY_MS: SpanMs = SpanMs(1_000);
+pub(super) const PROBE_INTERVAL_MS: SpanMs = SpanMs(1_000);
 
 /// Watches the configuration until the process ends.
 pub async fn watch_config(node: Rc<Node>) {
@@ -199,7 +199,7 @@
 async fn overtaken(node: &Node) {
     let told = reading::is_notified(node.outbox.peers_there());
     loop {
-        let probe = tokio::time::sleep(Duration::from(PROBE_EVERY_MS));
+        let probe = tokio::time::sleep(Duration::from(PROBE_INTERVAL_MS));
         tokio::select! {
             () = node.watching.newer_config.notified() => {
                 tokio::time::sleep(Duration::from(OWN_READ_MS)).await;
--- a/crates/front/src/watch/follow.rs
+++ b/crates/front/src/watch/follow.rs
@@ -1,6 +1,6 @@
 //! Following the configuration at peers instead of the directory.
 
-use super::config::PROBE_EVERY_MS;
+use super::config::PROBE_INTERVAL_MS;
 use crate::copies::{self, ConfigCopy};
 use crate::journal::Event;
 use crate::node::Node;
@@ -55,7 +55,7 @@
         }
         // Whether there is a newer one is seen by the next turn.
         let _ = tokio::time::timeout(
-            Duration::from(PROBE_EVERY_MS),
+            Duration::from(PROBE_INTERVAL_MS),
             node.watching.newer_config.notified(),
         )
         .await;
--- a/crates/front/src/watch/paces.rs
+++ b/crates/front/src/watch/paces.rs
@@ -6,7 +6,7 @@
 use crate::outside::EngineReport;
 use crate::{limits, signals};
 use bluebell_base::prelude::*;
-use bluebell_fleet::pace::{PROBE_EVERY_MS, probes};
+use bluebell_fleet::pace::{PROBE_INTERVAL_MS, is_prober};
 use bluebell_fleet::prelude::*;
 use http_body_util::{BodyExt, Limited};
 use std::net::SocketAddr;
@@ -26,8 +26,8 @@
 /// Looks at this node's part of the engines until the process ends.
 pub async fn watch_paces(node: Rc<Node>) {
     loop {
-        let spread_ms = rand::random_range(0..=PROBE_EVERY_MS.0 / 4);
-        tokio::time::sleep(Duration::from_millis(PROBE_EVERY_MS.0 + spread_ms)).await;
+        let spread_ms = rand::random_range(0..=PROBE_INTERVAL_MS.0 / 4);
+        tokio::time::sleep(Duration::from_millis(PROBE_INTERVAL_MS.0 + spread_ms)).await;
         for (key, address) in own_part(&node) {
             spawn_local(probe(node.clone(), key, address));
         }
@@ -48,7 +48,7 @@
         let own = ready.filter(|(key, _, _)| {
             state.limits.admits_probe(*key, now_ms)
                 && !state.rests.is_resting(*key, now_ms)
-                && probes(node.owner, &peers, *key)
+                && is_prober(node.owner, &peers, *key)
         });
         own.map(|(key, replica, _)| (key, replica.address))
             .collect()
