--- a/crates/fleet/src/reading/mod.rs
+++ b/crates/fleet/src/long_poll/mod.rs
@@ -32,7 +32,7 @@
 const SPREAD_PART: f64 = 0.5;
 
 /// How long the next read stays open at a node that hears `peers`; `draw` is from 0 to 1.
-pub fn open_for(peers: usize, draw: f64) -> SpanMs {
+pub fn long_poll_timeout(peers: usize, draw: f64) -> SpanMs {
     if peers < HEARD_PEERS {
         return ALONE_MS;
     }
@@ -42,6 +42,6 @@
 }
 
 /// Whether a node that hears `peers` may leave it to them to notice what is new.
-pub fn is_notified(peers: usize) -> bool {
+pub fn can_rely_on_peers(peers: usize) -> bool {
     peers >= HEARD_PEERS
 }
--- a/crates/fleet/tests/reading.rs
+++ b/crates/fleet/tests/long_poll.rs
@@ -1,6 +1,6 @@
 //! How long reads of the directory stay open, for fleets of several sizes.
 
-use bluebell_fleet::reading::open_for;
+use bluebell_fleet::long_poll::long_poll_timeout;
 use expect_test::expect;
 
 /// Behind a connection that has fallen silent a node learns of a new configuration only from its
@@ -9,7 +9,10 @@
 fn reads_are_open_for_longer_the_more_nodes_tell_each_other() {
     let mut table = String::from("peers  shortest  longest, ms\n");
     for peers in [0, 1, 2, 8, 29, 59, 399] {
-        let (shortest, longest) = (open_for(peers, 1.0).0, open_for(peers, 0.0).0);
+        let (shortest, longest) = (
+            long_poll_timeout(peers, 1.0).0,
+            long_poll_timeout(peers, 0.0).0,
+        );
         table.push_str(&format!("{peers:>5}  {shortest:>8}  {longest:>7}\n"));
     }
     expect![[r#"
--- a/crates/front/src/watch/config.rs
+++ b/crates/front/src/watch/config.rs
@@ -16,8 +16,8 @@
 use crate::node::Node;
 use crate::outside::{ConfigUpdate, Cursor, DirectoryError};
 use bluebell_base::prelude::*;
+use bluebell_fleet::long_poll;
 use bluebell_fleet::prelude::*;
-use bluebell_fleet::reading;
 use bytes::Bytes as Buffer;
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
@@ -181,7 +181,7 @@
 async fn next_read(node: &Node, cursor: Cursor) -> Result<ConfigUpdate, DirectoryError> {
     let directory = &node.outside.directory;
     let other_readers = follow::readers(node) - 1;
-    let wait_ms = reading::open_for(other_readers, rand::random());
+    let wait_ms = long_poll::long_poll_timeout(other_readers, rand::random());
     tokio::select! {
         read = directory.read_config(Some(cursor), wait_ms) => read,
         // A read that was begun before is behind a connection that may never answer.
@@ -197,7 +197,7 @@
 /// Ends where the open read isn't to be relied on: a peer has known a newer version for a while, or
 /// the peers on which its length relied are no longer heard.
 async fn overtaken(node: &Node) {
-    let told = reading::is_notified(node.outbox.peers_there());
+    let told = long_poll::can_rely_on_peers(node.outbox.peers_there());
     loop {
         let probe = tokio::time::sleep(Duration::from(PROBE_INTERVAL_MS));
         tokio::select! {
@@ -206,7 +206,7 @@
             }
             () = probe => {}
         }
-        let alone = told && !reading::is_notified(node.outbox.peers_there());
+        let alone = told && !long_poll::can_rely_on_peers(node.outbox.peers_there());
         if alone || node.watching.is_behind() {
             return;
         }
--- a/crates/front/src/watch/follow.rs
+++ b/crates/front/src/watch/follow.rs
@@ -6,8 +6,8 @@
 use crate::node::Node;
 use bluebell_base::prelude::*;
 use bluebell_fleet::distribution::{self, ConfigRole};
+use bluebell_fleet::long_poll;
 use bluebell_fleet::prelude::*;
-use bluebell_fleet::reading;
 use rand::seq::SliceRandom;
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
 /// The node from which this one copies the configuration; none where it is to read the directory.
 pub(super) fn parent(node: &Node) -> Option<OwnerId> {
     node.config_version()?;
-    if !reading::is_notified(node.outbox.peers_there()) {
+    if !long_poll::can_rely_on_peers(node.outbox.peers_there()) {
         return None;
     }
     let peers = node.outbox.owners_in(&node.settings.domain);
