--- a/crates/fleet/src/placement/memory.rs
+++ b/crates/fleet/src/placement/memory.rs
@@ -31,7 +31,7 @@
 }
 
 /// Whether no engine can hold the request alone, so that memory is set aside at helpers.
-pub fn needs_several(spec: &EngineSpec, demand: &Demand) -> bool {
+pub fn needs_helper_memory(spec: &EngineSpec, demand: &Demand) -> bool {
     needed(demand) > usable(spec)
 }
 
--- a/crates/fleet/src/placement/mod.rs
+++ b/crates/fleet/src/placement/mod.rs
@@ -21,7 +21,7 @@
 mod spread;
 mod survey;
 
-pub use memory::needs_several;
+pub use memory::needs_helper_memory;
 pub use plain::{PlainCandidate, place_plain};
 pub use price::Prices;
 pub use search::place_engine;
--- a/crates/fleet/src/placement/plain.rs
+++ b/crates/fleet/src/placement/plain.rs
@@ -16,12 +16,12 @@
     /// This node's calls that it has in hand.
     pub calls: u32,
     /// Whether it is in this node's failure domain.
-    pub near: bool,
+    pub same_domain: bool,
 }
 
 /// Picks the replica with the fewest calls; ties go to the nearer, then by `draw`.
 pub fn place_plain(candidates: &[PlainCandidate], draw: u32) -> Option<ReplicaKey> {
-    let load = |c: &PlainCandidate| f64::from(c.calls) - f64::from(u8::from(c.near)) * 0.5;
+    let load = |c: &PlainCandidate| f64::from(c.calls) - f64::from(u8::from(c.same_domain)) * 0.5;
     let least = candidates.iter().map(load).fold(f64::INFINITY, f64::min);
     let tied: Vec<&PlainCandidate> = candidates.iter().filter(|c| load(c) <= least).collect();
     match tied.is_empty() {
--- a/crates/fleet/src/placement/survey.rs
+++ b/crates/fleet/src/placement/survey.rs
@@ -80,7 +80,7 @@
 
     /// Whether no engine can hold it alone, so that memory is set aside at helpers.
     pub fn is_huge(&self) -> bool {
-        memory::needs_several(self.spec, self.demand)
+        memory::needs_helper_memory(self.spec, self.demand)
     }
 
     /// Whether it may be read by many: reading it alone takes long, or no engine can hold it.
--- a/crates/fleet/src/serving/mod.rs
+++ b/crates/fleet/src/serving/mod.rs
@@ -120,19 +120,19 @@
     routes: FxHashMap<Arc<str>, FxHashMap<Arc<str>, Arc<Route>>>,
     services: FxHashMap<ServiceName, Arc<Service>>,
     accounts: FxHashMap<Arc<str>, Arc<Account>>,
-    keyed: bool,
+    requires_key: bool,
     limits: ClientLimits,
 }
 
 impl ServingConfig {
-    /// An empty configuration; `keyed` tells whether requests need a key.
-    pub fn new(version: ConfigVersion, limits: ClientLimits, keyed: bool) -> Self {
+    /// An empty configuration; `requires_key` tells whether requests need a key.
+    pub fn new(version: ConfigVersion, limits: ClientLimits, requires_key: bool) -> Self {
         Self {
             version,
             routes: FxHashMap::default(),
             services: FxHashMap::default(),
             accounts: FxHashMap::default(),
-            keyed,
+            requires_key,
             limits,
         }
     }
@@ -165,8 +165,8 @@
     }
 
     /// Whether requests on routes that aren't public need a key.
-    pub fn keyed(&self) -> bool {
-        self.keyed
+    pub fn requires_key(&self) -> bool {
+        self.requires_key
     }
 
     /// The route of `host` with the longest prefix of `path`.
--- a/crates/front/src/call/admit.rs
+++ b/crates/front/src/call/admit.rs
@@ -186,7 +186,7 @@
     route: &Route,
     head: &CallHead,
 ) -> Result<Option<Arc<Account>>, Barred> {
-    if !config.keyed() || route.public {
+    if !config.requires_key() || route.public {
         return Ok(None);
     }
     let account = head.key.as_ref().and_then(|key| config.account(key));
--- a/crates/front/src/call/choose.rs
+++ b/crates/front/src/call/choose.rs
@@ -7,7 +7,7 @@
 use crate::limits;
 use crate::outside::Helper;
 use bluebell_base::prelude::*;
-use bluebell_fleet::placement::{Fleet, PlainCandidate, needs_several};
+use bluebell_fleet::placement::{Fleet, PlainCandidate, needs_helper_memory};
 use bluebell_fleet::prelude::*;
 use bluebell_fleet::replicas::Health;
 use std::net::SocketAddr;
@@ -234,7 +234,7 @@
     let now_ms = node.now_ms();
     let demand = demand(call, now_ms, pressing);
     // Memory that is set aside takes an order each moment for as long as its request lives.
-    let limited = match needs_several(spec, &demand) {
+    let limited = match needs_helper_memory(spec, &demand) {
         true => Limited::Never,
         false => Limited::WithinLimit,
     };
@@ -352,7 +352,7 @@
             .map(|(key, replica, _)| PlainCandidate {
                 key: *key,
                 calls: state.calls.get(key).copied().unwrap_or(0),
-                near: replica.domain == node.settings.domain,
+                same_domain: replica.domain == node.settings.domain,
             })
             .collect();
         let key = place_plain(&candidates, rand::random());
