--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -40,7 +40,7 @@
     pub use crate::leaving::Leavers;
     pub use crate::ledger::{Ledger, OwnerId, Stage, Work, WorkId};
     pub use crate::limit::{
-        Admission, Heard, LimitChange, LimitNotice, LimitSignal, Limits, Nodes, Source,
+        Admission, LimitChange, LimitNotice, LimitReport, LimitSignal, Limits, Nodes, Source,
     };
     pub use crate::pace::{Pace, Paces};
     pub use crate::placement::{Demand, Placement, Refusal, place_engine, place_plain};
--- a/crates/fleet/src/limit/mod.rs
+++ b/crates/fleet/src/limit/mod.rs
@@ -66,7 +66,7 @@
 
 /// An answer of a replica, as far as it matters for limits.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Heard {
+pub struct LimitReport {
     /// What it says.
     pub signal: LimitSignal,
     /// What was answered.
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LimitChange {
     /// The replica takes so much.
-    Named(PerSecond),
+    Set(PerSecond),
     /// It no longer names a limit.
     Ended,
 }
@@ -92,7 +92,7 @@
     /// It may after this time.
     After(SpanMs),
     /// Other nodes may.
-    Elsewhere,
+    OtherNodes,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -105,7 +105,7 @@
     /// When this node last heard of the limit, from the replica or from a peer.
     heard_ms: MonoMs,
     /// Whether answers to looks name it as well, so that one without it ends it.
-    probes_name: bool,
+    probes_carry_limit: bool,
     allowance: Allowance,
     share: Option<Share>,
 }
@@ -142,15 +142,15 @@
     pub fn on_answer(
         &mut self,
         key: ReplicaKey,
-        heard: Heard,
+        heard: LimitReport,
         now_ms: MonoMs,
     ) -> Option<LimitChange> {
         match heard.signal {
-            LimitSignal::Named(rate) => {
-                let probes_name = heard.source == Source::Probe;
-                self.name(key, rate, now_ms, probes_name, now_ms)
+            LimitSignal::Set(rate) => {
+                let probes_carry_limit = heard.source == Source::Probe;
+                self.name(key, rate, now_ms, probes_carry_limit, now_ms)
             }
-            LimitSignal::Unnamed => self.unname(key, heard, now_ms),
+            LimitSignal::Absent => self.unname(key, heard, now_ms),
             LimitSignal::Unreadable => None,
         }
     }
@@ -170,7 +170,7 @@
         };
         if let Some(limit) = known {
             limit.heard_ms = now_ms;
-            limit.probes_name |= told.probes_name;
+            limit.probes_carry_limit |= told.probes_carry_limit;
         }
         if known_ms
             .max(ended_ms)
@@ -178,7 +178,7 @@
         {
             return None;
         }
-        self.name(told.replica, rate, at_ms, told.probes_name, now_ms)
+        self.name(told.replica, rate, at_ms, told.probes_carry_limit, now_ms)
     }
 
     fn name(
@@ -186,7 +186,7 @@
         key: ReplicaKey,
         rate: PerSecond,
         named_ms: MonoMs,
-        probes_name: bool,
+        probes_carry_limit: bool,
         now_ms: MonoMs,
     ) -> Option<LimitChange> {
         self.ended.remove(&key);
@@ -200,23 +200,29 @@
             named_ms,
             answered_ms: named_ms,
             heard_ms: now_ms,
-            probes_name: probes_name || before.is_some_and(|limit| limit.probes_name),
+            probes_carry_limit: probes_carry_limit
+                || before.is_some_and(|limit| limit.probes_carry_limit),
             allowance: before.map_or(Allowance::none(now_ms), |limit| limit.allowance),
             share: before.and_then(|limit| limit.share),
         };
         self.known.insert(key, limit);
-        (!same).then_some(LimitChange::Named(rate))
+        (!same).then_some(LimitChange::Set(rate))
     }
 
     /// An answer names no limit. One that was asked for before the limit was last named may have been
     /// given before as well, since answers overtake each other; it ends nothing.
-    fn unname(&mut self, key: ReplicaKey, heard: Heard, now_ms: MonoMs) -> Option<LimitChange> {
+    fn unname(
+        &mut self,
+        key: ReplicaKey,
+        heard: LimitReport,
+        now_ms: MonoMs,
+    ) -> Option<LimitChange> {
         let limit = self.known.get_mut(&key)?;
         limit.answered_ms = now_ms;
         limit.heard_ms = now_ms;
         let tells = match heard.source {
             Source::Answer => true,
-            Source::Probe => limit.probes_name,
+            Source::Probe => limit.probes_carry_limit,
             Source::Order => false,
         };
         let newer = heard.sent_ms > limit.named_ms;
@@ -232,7 +238,7 @@
     }
 
     /// Whether the shares have to be worked out before they are used.
-    pub fn is_unshared(&self, now_ms: MonoMs) -> bool {
+    pub fn has_stale_shares(&self, now_ms: MonoMs) -> bool {
         let old = |at_ms: MonoMs| now_ms.since(at_ms) >= SHARED_MS;
         !self.is_empty() && self.shared_ms.is_none_or(old)
     }
@@ -255,7 +261,7 @@
         match limit.allowance.wait_ms(now_ms) {
             Some(SpanMs::ZERO) => Admission::Now,
             Some(wait_ms) => Admission::After(wait_ms),
-            None => Admission::Elsewhere,
+            None => Admission::OtherNodes,
         }
     }
 
@@ -289,7 +295,7 @@
                 replica: key,
                 rate: Some(limit.rate),
                 age_ms,
-                probes_name: limit.probes_name,
+                probes_carry_limit: limit.probes_carry_limit,
             });
         }
         let end = self.ended.get(&key)?;
@@ -297,12 +303,12 @@
             replica: key,
             rate: None,
             age_ms: now_ms.since(end.at_ms),
-            probes_name: false,
+            probes_carry_limit: false,
         })
     }
 
     /// All that this node tells again with its digests.
-    pub fn notify_again(&self, now_ms: MonoMs) -> Vec<LimitNotice> {
+    pub fn repeated_notices(&self, now_ms: MonoMs) -> Vec<LimitNotice> {
         let limits = self.known.iter().filter(|(_, limit)| limit.is_announced());
         let ends = self.ended.iter().filter(|(_, end)| end.tells);
         let keys = limits.map(|(key, _)| *key).chain(ends.map(|(key, _)| *key));
--- a/crates/fleet/src/limit/notice.rs
+++ b/crates/fleet/src/limit/notice.rs
@@ -14,7 +14,7 @@
     /// How long ago the replica said so.
     pub age_ms: SpanMs,
     /// Whether its answers to looks name it as well.
-    pub probes_name: bool,
+    pub probes_carry_limit: bool,
 }
 
 impl LimitNotice {
--- a/crates/fleet/src/limit/signal.rs
+++ b/crates/fleet/src/limit/signal.rs
@@ -6,9 +6,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LimitSignal {
     /// So many from all nodes together.
-    Named(PerSecond),
+    Set(PerSecond),
     /// It names no limit.
-    Unnamed,
+    Absent,
     /// It names something that is no rate.
     Unreadable,
 }
@@ -17,6 +17,6 @@
     /// Reads the text with which an answer names its limit.
     pub fn read(text: &str) -> Self {
         let rate = text.trim().parse();
-        rate.map_or(Self::Unreadable, Self::Named)
+        rate.map_or(Self::Unreadable, Self::Set)
     }
 }
--- a/crates/fleet/src/rest/mod.rs
+++ b/crates/fleet/src/rest/mod.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RestSignal {
     /// Nothing.
-    Unnamed,
+    Absent,
     /// It wants none for so long.
     For(SpanMs),
     /// It names something that is no time.
@@ -55,7 +55,7 @@
     /// The rest to grant; none where there is none.
     fn span_ms(self) -> Option<SpanMs> {
         match self {
-            Self::Unnamed | Self::For(SpanMs::ZERO) => None,
+            Self::Absent | Self::For(SpanMs::ZERO) => None,
             Self::For(rest_ms) => Some(rest_ms),
             Self::Unreadable => Some(UNREADABLE_MS),
         }
--- a/crates/fleet/tests/limit.rs
+++ b/crates/fleet/tests/limit.rs
@@ -21,8 +21,8 @@
     OwnerId((n as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15))
 }
 
-fn answered(signal: LimitSignal, sent_ms: u64) -> Heard {
-    Heard {
+fn answered(signal: LimitSignal, sent_ms: u64) -> LimitReport {
+    LimitReport {
         signal,
         source: Source::Answer,
         sent_ms: MonoMs(sent_ms),
@@ -30,7 +30,7 @@
 }
 
 fn named(rate: f64) -> LimitSignal {
-    LimitSignal::Named(PerSecond(rate))
+    LimitSignal::Set(PerSecond(rate))
 }
 
 /// Nodes that all want to send at each moment, and hear only those of their own group.
@@ -77,7 +77,7 @@
 
     fn step(&mut self, node: usize, rate: f64, now_ms: u64) {
         let at_ms = MonoMs(now_ms);
-        if self.limits[node].is_unshared(at_ms) {
+        if self.limits[node].has_stale_shares(at_ms) {
             let heard = self.heard_by(node);
             let nodes = Nodes {
                 own: owner(node),
@@ -154,7 +154,7 @@
     let sent = fleet.sent_ms.len();
     let holds = |fleet: &Fleet, node: usize| {
         let admission = fleet.limits[node].admission(REPLICA, MonoMs(4_000));
-        admission != Admission::Elsewhere
+        admission != Admission::OtherNodes
     };
     let holder = (0..9).find(|node| holds(&fleet, *node)).expect("a holder");
     fleet.groups[holder] = None;
@@ -190,11 +190,11 @@
     let mut limits = Limits::default();
     let at = MonoMs;
     let change = limits.on_answer(REPLICA, answered(named(1.0), 50), at(100));
-    assert_eq!(change, Some(LimitChange::Named(PerSecond(1.0))));
-    let overtaken = answered(LimitSignal::Unnamed, 90);
+    assert_eq!(change, Some(LimitChange::Set(PerSecond(1.0))));
+    let overtaken = answered(LimitSignal::Absent, 90);
     assert_eq!(limits.on_answer(REPLICA, overtaken, at(120)), None);
     assert!(limits.is_limited(REPLICA));
-    let newer = answered(LimitSignal::Unnamed, 110);
+    let newer = answered(LimitSignal::Absent, 110);
     let change = limits.on_answer(REPLICA, newer, at(130));
     assert_eq!(change, Some(LimitChange::Ended));
     assert_eq!(limits.admission(REPLICA, at(130)), Admission::Now);
@@ -204,7 +204,7 @@
 /// back at each look. A look ends a limit only where looks name it; orders never do.
 #[test]
 fn a_look_ends_only_what_looks_name() {
-    for (probes_name, source, ends) in [
+    for (probes_carry_limit, source, ends) in [
         (false, Source::Probe, false),
         (true, Source::Probe, true),
         (true, Source::Order, false),
@@ -212,20 +212,20 @@
     ] {
         let mut limits = Limits::default();
         limits.on_answer(REPLICA, answered(named(1.0), 0), MonoMs(10));
-        if probes_name {
-            let look = Heard {
+        if probes_carry_limit {
+            let look = LimitReport {
                 source: Source::Probe,
                 ..answered(named(1.0), 20)
             };
             limits.on_answer(REPLICA, look, MonoMs(30));
         }
-        let silent = Heard {
+        let silent = LimitReport {
             source,
-            ..answered(LimitSignal::Unnamed, 40)
+            ..answered(LimitSignal::Absent, 40)
         };
         let change = limits.on_answer(REPLICA, silent, MonoMs(50));
         let expected = ends.then_some(LimitChange::Ended);
-        assert_eq!(change, expected, "{probes_name} {source:?}");
+        assert_eq!(change, expected, "{probes_carry_limit} {source:?}");
     }
 }
 
@@ -237,7 +237,7 @@
         replica: REPLICA,
         rate: rate.map(PerSecond),
         age_ms: SpanMs(age_ms),
-        probes_name: false,
+        probes_carry_limit: false,
     };
     let words = [
         told(Some(1.0), 900),
@@ -278,7 +278,7 @@
             known: 8,
         };
         limits.share(&nodes, MonoMs(0));
-        let holds = limits.admission(REPLICA, MonoMs(0)) != Admission::Elsewhere;
+        let holds = limits.admission(REPLICA, MonoMs(0)) != Admission::OtherNodes;
         let forgot = limits.expire(|_| true, MonoMs(11_000));
         assert_eq!(forgot.is_empty(), holds);
         holders += usize::from(holds);
@@ -293,12 +293,12 @@
         known: heard.len(),
     };
     limits.share(&alone, MonoMs(0));
-    limits.on_answer(REPLICA, answered(LimitSignal::Unnamed, 50), MonoMs(100));
-    let again = limits.notify_again(MonoMs(1_000));
+    limits.on_answer(REPLICA, answered(LimitSignal::Absent, 50), MonoMs(100));
+    let again = limits.repeated_notices(MonoMs(1_000));
     assert_eq!(again.len(), 1);
     assert_eq!((again[0].rate, again[0].age_ms), (None, SpanMs(900)));
     limits.expire(|_| true, MonoMs(20_000));
-    assert!(limits.notify_again(MonoMs(20_000)).is_empty());
+    assert!(limits.repeated_notices(MonoMs(20_000)).is_empty());
 }
 
 /// Looks alone took all that an engine had named. It is looked at only where nothing else is heard of it.
--- a/crates/fleet/tests/rest.rs
+++ b/crates/fleet/tests/rest.rs
@@ -57,7 +57,7 @@
     let shorter = RestSignal::For(SpanMs(100));
     assert_eq!(rests.on_turned_away(KEY, shorter, MonoMs(1_200)), None);
     assert!(rests.is_resting(KEY, MonoMs(3_900)));
-    assert!(resting(RestSignal::Unnamed).is_empty());
+    assert!(resting(RestSignal::Absent).is_empty());
     assert!(resting(RestSignal::For(SpanMs(0))).is_empty());
     assert!(resting(RestSignal::Unreadable).is_resting(KEY, MonoMs(1_900)));
 }
--- a/crates/front/src/call/choose.rs
+++ b/crates/front/src/call/choose.rs
@@ -153,7 +153,7 @@
         let before_ms = before.and_then(|left_out| left_out.wait_ms);
         let wait_ms = match admission {
             Admission::After(wait_ms) => Some(before_ms.map_or(wait_ms, |ms| ms.min(wait_ms))),
-            Admission::Now | Admission::Elsewhere => before_ms,
+            Admission::Now | Admission::OtherNodes => before_ms,
         };
         Self { wait_ms }
     }
@@ -188,7 +188,7 @@
             ready.retain(|(key, _, _)| {
                 let admission = match rests.admission(*key, now_ms) {
                     Admission::Now if limited == Limited::Never && limits.is_limited(*key) => {
-                        Admission::Elsewhere
+                        Admission::OtherNodes
                     }
                     Admission::Now => limits.admission(*key, now_ms),
                     later => later,
@@ -238,7 +238,7 @@
         true => Limited::Never,
         false => Limited::WithinLimit,
     };
-    limits::share(node);
+    limits::update_shares(node);
     node.with(|state| {
         state.ledger.set_paces(&state.paces, now_ms);
         let loads = state.ledger.loads(now_ms);
@@ -338,7 +338,7 @@
 
 fn choose_plain(call: &Call, avoid: &[ReplicaKey]) -> Result<Chosen, Refusal> {
     let node = &call.node;
-    limits::share(node);
+    limits::update_shares(node);
     let (key, replica) = node.with(|state| {
         let limited = Limited::WithinLimit;
         let asked = Asked {
--- a/crates/front/src/call/reserve.rs
+++ b/crates/front/src/call/reserve.rs
@@ -197,7 +197,7 @@
 ) -> Option<MemoryAnswer> {
     let mut link = node.pool.lease(address, Freshness::Recent).await.ok()?;
     let request = node.outside.dialect.memory_order(address, order);
-    limits::on_sent_to(node, address);
+    limits::on_sent_to_address(node, address);
     let sent_ms = node.now_ms();
     let answer = link.send(request).await.ok()?;
     let status = answer.status().as_u16();
--- a/crates/front/src/call/tries.rs
+++ b/crates/front/src/call/tries.rs
@@ -258,7 +258,7 @@
 /// surely the replica's own says by its silence that a limit has ended.
 fn note_signals(call: &Call, key: ReplicaKey, head: &AnswerHead, sent_ms: MonoMs) {
     let own = head.answers && (head.signed || head.not_run);
-    if own || head.signals.limit != LimitSignal::Unnamed {
+    if own || head.signals.limit != LimitSignal::Absent {
         signals::on_answer(&call.node, key, &head.signals, Source::Answer, sent_ms);
     } else if head.answers || head.not_run {
         signals::note(&call.node, key, &head.signals);
--- a/crates/front/src/gossip/message.rs
+++ b/crates/front/src/gossip/message.rs
@@ -151,7 +151,7 @@
             replica: told.replica.0,
             rate_per_s: told.rate.map(|rate| rate.0),
             age_ms: told.age_ms.0.min(u64::from(u32::MAX)) as u32,
-            probes_name: told.probes_name,
+            probes_name: told.probes_carry_limit,
         }
     }
 }
@@ -162,7 +162,7 @@
             replica: ReplicaKey(gossip.replica),
             rate: gossip.rate_per_s.map(PerSecond),
             age_ms: SpanMs(u64::from(gossip.age_ms)),
-            probes_name: gossip.probes_name,
+            probes_carry_limit: gossip.probes_name,
         }
     }
 }
--- a/crates/front/src/gossip/send.rs
+++ b/crates/front/src/gossip/send.rs
@@ -44,16 +44,16 @@
 fn own_digest(node: &Node) -> Vec<Gossip> {
     let now_ms = node.now_ms();
     let tells = notify_chance(node);
-    limits::share(node);
+    limits::update_shares(node);
     let (works, version, requests, limits, leavers) = node.with(|state| {
         let own = state.ledger.of_owner(node.owner);
         let works = own.map(|(sequence, work)| WorkGossip::of(sequence, work, now_ms));
         let version = state.config.as_ref().map(|c| c.version());
-        let again = state.quarantine.notify_again(now_ms);
+        let again = state.quarantine.repeated_notices(now_ms);
         let draw = || rand::random_bool(tells);
         let quarantined = state.quarantine.quarantine_notices(now_ms, draw);
         let requests = again.into_iter().chain(quarantined);
-        let limits = state.limits.notify_again(now_ms);
+        let limits = state.limits.repeated_notices(now_ms);
         (
             works.collect(),
             version,
--- a/crates/front/src/limits/mod.rs
+++ b/crates/front/src/limits/mod.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 
 /// A replica answered something.
-pub fn on_answer(node: &Node, key: ReplicaKey, heard: Heard) {
+pub fn on_answer(node: &Node, key: ReplicaKey, heard: LimitReport) {
     if heard.signal == LimitSignal::Unreadable {
         log::debug!("{key} names a limit that can't be read");
     }
@@ -34,9 +34,9 @@
 }
 
 /// Works out what this node may send to replicas that name a limit, where that isn't known.
-pub fn share(node: &Node) {
+pub fn update_shares(node: &Node) {
     let now_ms = node.now_ms();
-    if !node.with(|state| state.limits.is_unshared(now_ms)) {
+    if !node.with(|state| state.limits.has_stale_shares(now_ms)) {
         return;
     }
     let heard = node.outbox.owners_there();
@@ -49,7 +49,7 @@
 }
 
 /// Something is sent to the replica at `address` that isn't a request of a caller.
-pub fn on_sent_to(node: &Node, address: SocketAddr) {
+pub fn on_sent_to_address(node: &Node, address: SocketAddr) {
     let now_ms = node.now_ms();
     node.with(|state| {
         if !state.limits.is_empty()
@@ -61,7 +61,7 @@
 }
 
 /// The replica at `address` answered something.
-pub fn on_answer_at(node: &Node, address: SocketAddr, heard: Heard) {
+pub fn on_answer_at(node: &Node, address: SocketAddr, heard: LimitReport) {
     if let Some(key) = node.with(|state| state.replicas.at(address)) {
         on_answer(node, key, heard);
     }
@@ -74,7 +74,7 @@
     });
     let instance = instance.unwrap_or_else(|| "".into());
     node.journal.record(&match change {
-        LimitChange::Named(rate) => Event::LimitNamed {
+        LimitChange::Set(rate) => Event::LimitNamed {
             instance,
             rate_per_s: rate,
             how,
--- a/crates/front/src/signals/mod.rs
+++ b/crates/front/src/signals/mod.rs
@@ -18,7 +18,7 @@
     source: Source,
     sent_ms: MonoMs,
 ) {
-    let heard = Heard {
+    let heard = LimitReport {
         signal: signals.limit,
         source,
         sent_ms,
--- a/crates/front/src/watch/paces.rs
+++ b/crates/front/src/watch/paces.rs
@@ -38,7 +38,7 @@
 fn own_part(node: &Node) -> Vec<(ReplicaKey, SocketAddr)> {
     let peers = node.outbox.owners_there();
     let now_ms = node.now_ms();
-    limits::share(node);
+    limits::update_shares(node);
     node.with(|state| {
         let Some(config) = &state.config else {
             return Vec::new();
@@ -86,7 +86,7 @@
 async fn read(node: &Rc<Node>, address: SocketAddr) -> Option<EngineReport> {
     let mut link = node.pool.lease(address, Freshness::Kept).await.ok()?;
     let request = node.outside.dialect.report_request(address);
-    limits::on_sent_to(node, address);
+    limits::on_sent_to_address(node, address);
     let sent_ms = node.now_ms();
     let answer = link.send(request).await.ok()?;
     let status = answer.status();
@@ -95,7 +95,7 @@
         .dialect
         .signals(status.as_u16(), answer.headers());
     // What refuses a probe says nothing by not naming a limit: another replica may have the address.
-    if status.is_success() || said.limit != LimitSignal::Unnamed {
+    if status.is_success() || said.limit != LimitSignal::Absent {
         signals::on_answer_at(node, address, &said, Source::Probe, sent_ms);
     }
     let body = Limited::new(answer.into_body(), REPORT_BYTES);
--- a/crates/quarantine/src/table/mod.rs
+++ b/crates/quarantine/src/table/mod.rs
@@ -306,7 +306,7 @@
     }
 
     /// What is told again of what this node saw itself a moment ago.
-    pub fn notify_again(&self, now_ms: MonoMs) -> Vec<Told> {
+    pub fn repeated_notices(&self, now_ms: MonoMs) -> Vec<Told> {
         let mut told = Vec::new();
         for (digest, record) in &self.records {
             let fresh = |at_ms: MonoMs| now_ms.since(at_ms) < TOLD_AGAIN_MS;
--- a/crates/quarantine/tests/table.rs
+++ b/crates/quarantine/tests/table.rs
@@ -303,11 +303,11 @@
     table.on_end(digest(1), ServerRun(1), Evidence::Running, at(0));
     let told = Quarantine::end_notice(digest(2), ServerRun(1), Evidence::Running, (at(0), at(0)));
     table.on_notified(told, at(0));
-    assert_eq!(table.notify_again(at(2_999)).len(), 1);
-    assert_eq!(table.notify_again(at(3_000)), []);
+    assert_eq!(table.repeated_notices(at(2_999)).len(), 1);
+    assert_eq!(table.repeated_notices(at(3_000)), []);
     table.clear(digest(1), at(3_500));
     assert_eq!(
-        table.notify_again(at(4_000)),
+        table.repeated_notices(at(4_000)),
         [Told::Cleared {
             digest: digest(1),
             age_ms: 500
@@ -326,7 +326,7 @@
     for ms in 200..10_000 {
         assert_eq!(table.clear(digest(1), at(ms)), Turn::None);
     }
-    assert_eq!(table.notify_again(at(10_000)), []);
+    assert_eq!(table.repeated_notices(at(10_000)), []);
     table.expire(at(700_000));
     assert!(!table.may_know(&1_u32.to_be_bytes()));
 }
