--- a/crates/fleet/src/replicas/health.rs
+++ b/crates/fleet/src/replicas/health.rs
@@ -37,9 +37,9 @@
     /// It said that it is full.
     Full,
     /// Its answer wasn't the answer to the request.
-    Garbled,
+    Mismatched,
     /// It had no time to show anything.
-    Unjudged,
+    Inconclusive,
 }
 
 impl Symptom {
@@ -49,7 +49,7 @@
     pub fn of_silence(waited_ms: SpanMs, expected_ms: SpanMs) -> Self {
         match waited_ms >= expected_ms {
             true => Symptom::Silent,
-            false => Symptom::Unjudged,
+            false => Symptom::Inconclusive,
         }
     }
 }
@@ -99,11 +99,11 @@
                 self.fade(1.0);
                 self.failure_share > DOUBTED_SHARE && self.doubt(now_ms)
             }
-            Symptom::Garbled => {
+            Symptom::Mismatched => {
                 self.garbled_at_ms = Some(now_ms);
                 false
             }
-            Symptom::Full | Symptom::Unjudged => false,
+            Symptom::Full | Symptom::Inconclusive => false,
         }
     }
 
@@ -158,7 +158,7 @@
     }
 
     /// Whether it mixed up answers within the last `span_ms`.
-    pub fn garbled_within(&self, span_ms: SpanMs, now_ms: MonoMs) -> bool {
+    pub fn mismatched_within(&self, span_ms: SpanMs, now_ms: MonoMs) -> bool {
         self.garbled_at_ms
             .is_some_and(|at_ms| now_ms.since(at_ms) < span_ms)
     }
--- a/crates/fleet/src/replicas/replica.rs
+++ b/crates/fleet/src/replicas/replica.rs
@@ -16,7 +16,7 @@
 
 impl ReplicaStart {
     /// The replica doesn't say; any start that is told is later.
-    pub const UNTOLD: Self = Self(0);
+    pub const UNKNOWN: Self = Self(0);
 }
 
 /// A replica's key as all nodes know it: a hash of its instance name and its start.
--- a/crates/fleet/src/replicas/table.rs
+++ b/crates/fleet/src/replicas/table.rs
@@ -96,7 +96,7 @@
     }
 
     /// Whether entries that the older copy lacks may still return.
-    pub fn renewing(&self, now_ms: MonoMs) -> bool {
+    pub fn awaits_rewrites(&self, now_ms: MonoMs) -> bool {
         let renewed = self.renewed_at_ms;
         renewed.is_some_and(|at_ms| now_ms.since(at_ms) < RELIST_MS)
     }
@@ -115,7 +115,7 @@
     }
 
     /// Whether entries that are missing may still return, since the directory was away.
-    pub fn settling(&self, now_ms: MonoMs) -> bool {
+    pub fn awaits_relisting(&self, now_ms: MonoMs) -> bool {
         let back = self.back_at_ms;
         self.away || back.is_some_and(|at_ms| now_ms.since(at_ms) < RELIST_MS)
     }
@@ -238,7 +238,7 @@
         let Some(key) = self.keys.get(instance).copied() else {
             return TableEvent::Unchanged;
         };
-        if self.settling(now_ms) {
+        if self.awaits_relisting(now_ms) {
             let Some(row) = self.rows.get_mut(&key) else {
                 return TableEvent::Unchanged;
             };
@@ -289,7 +289,7 @@
             .retain(|_, (_, at_ms)| now_ms.since(*at_ms) < REMOVED_REMEMBERED_MS);
         let rows = &self.rows;
         self.leavers.expire(|key| rows.contains_key(&key), now_ms);
-        if self.settling(now_ms) {
+        if self.awaits_relisting(now_ms) {
             return Vec::new();
         }
         let lapsed = self.rows.iter();
@@ -300,7 +300,7 @@
     }
 
     /// A replica that answered as another instance is gone from its address.
-    pub fn on_stranger(&mut self, key: ReplicaKey) {
+    pub fn on_instance_mismatch(&mut self, key: ReplicaKey) {
         self.drop_row(key);
     }
 
@@ -312,7 +312,7 @@
 
     /// Whether another instance is known at this replica's address, which was given to it after this
     /// one had ended.
-    pub fn another_at(&self, replica: &Replica) -> bool {
+    pub fn is_address_reused(&self, replica: &Replica) -> bool {
         let known = self.rows.values().map(|row| &row.replica);
         let mut there = known.filter(|known| known.address == replica.address);
         there.any(|known| known.instance != replica.instance)
@@ -365,7 +365,7 @@
             ready.extend(lapsed);
         }
         // Where replicas tell their starts, an entry without one wasn't written by a replica.
-        let untold = |row: &Row| row.replica.started == ReplicaStart::UNTOLD;
+        let untold = |row: &Row| row.replica.started == ReplicaStart::UNKNOWN;
         let strangers = ready.iter().filter(|(_, row)| untold(row)).count();
         if strangers * 2 < ready.len() {
             ready.retain(|(_, row)| !untold(row));
--- a/crates/fleet/tests/replicas.rs
+++ b/crates/fleet/tests/replicas.rs
@@ -7,7 +7,7 @@
 fn replica(number: u32) -> Replica {
     Replica {
         instance: format!("i-{number}").into(),
-        started: ReplicaStart::UNTOLD,
+        started: ReplicaStart::UNKNOWN,
         service: ServiceName("drafts".into()),
         address: format!("10.0.0.{number}:80").parse().expect("an address"),
         domain: DomainName("a".into()),
--- a/crates/front/src/call/tries.rs
+++ b/crates/front/src/call/tries.rs
@@ -96,7 +96,7 @@
     evidence: Evidence,
 ) -> TryError {
     call.node.watching.restarted(&call.node, replica).await;
-    TryError::new("the replica has started again", ran, Symptom::Unjudged)
+    TryError::new("the replica has started again", ran, Symptom::Inconclusive)
         .broken(Break::of_restart(evidence))
 }
 
@@ -181,7 +181,7 @@
     let now_ms = call.node.now_ms();
     let garbled = call.node.with(|state| {
         let health = state.replicas.health(chosen.key);
-        health.is_some_and(|h| h.garbled_within(GARBLED_MS, now_ms))
+        health.is_some_and(|h| h.mismatched_within(GARBLED_MS, now_ms))
     });
     match garbled {
         true => Freshness::New,
@@ -223,9 +223,9 @@
         // First of all: the refusal of an earlier request would else be taken for this one's, which
         // may be running.
         let why = "the answer belongs to another request";
-        return Err(TryError::new(why, Verdict::MayHaveRun, Symptom::Garbled));
+        return Err(TryError::new(why, Verdict::MayHaveRun, Symptom::Mismatched));
     }
-    if head.stranger {
+    if head.instance_mismatch {
         let why = "another replica has the address";
         return Err(TryError::new(why, Verdict::NotRun, Symptom::Unreachable));
     }
@@ -238,7 +238,7 @@
     }
     if !head.answers {
         let why = "the answer names no request";
-        return Err(TryError::new(why, Verdict::MayHaveRun, Symptom::Garbled));
+        return Err(TryError::new(why, Verdict::MayHaveRun, Symptom::Mismatched));
     }
     if !head.signed || head.encoded {
         let why = format!("the answer with status {status} isn't the replica's own");
--- a/crates/front/src/outside/mod.rs
+++ b/crates/front/src/outside/mod.rs
@@ -257,7 +257,7 @@
     /// Whether the replica states that it didn't run the request.
     pub not_run: bool,
     /// Whether another run of a replica has the address.
-    pub stranger: bool,
+    pub instance_mismatch: bool,
     /// Whether its body is encoded, so that it isn't the replica's own.
     pub encoded: bool,
     /// How long the replica keeps the connection, where it says so.
--- a/crates/front/src/watch/replicas.rs
+++ b/crates/front/src/watch/replicas.rs
@@ -117,13 +117,16 @@
         }
         pieces.add(node, take_changes(node, vec![change]));
     }
-    let (settling, renewing) = node.with(|state| {
+    let (awaits_relisting, awaits_rewrites) = node.with(|state| {
         let replicas = &state.replicas;
-        (replicas.settling(now_ms), replicas.renewing(now_ms))
+        (
+            replicas.awaits_relisting(now_ms),
+            replicas.awaits_rewrites(now_ms),
+        )
     });
     // What is missing after an outage may come back: each node judges that by what it saw of it. After a
     // renewal all have seen the same.
-    match (update.whole || settling) && !renewing {
+    match (update.whole || awaits_relisting) && !awaits_rewrites {
         true => pieces.unannounced(node, update.cursor),
         false => pieces.close(node, update.cursor),
     }
