--- a/crates/fleet/src/rest/mod.rs
+++ b/crates/fleet/src/backoff/mod.rs
@@ -31,7 +31,7 @@
 
 /// What an answer of a replica says of the time for which it wants no requests from this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RestSignal {
+pub enum RetryAfterSignal {
     /// Nothing.
     Absent,
     /// It wants none for so long.
@@ -40,7 +40,7 @@
     Unreadable,
 }
 
-impl RestSignal {
+impl RetryAfterSignal {
     /// Reads a number of seconds, fractions included.
     pub fn read(text: &str) -> Self {
         match text.trim().parse::<f64>() {
@@ -70,14 +70,14 @@
 
 /// The replicas that rest, or are on trial after a rest.
 #[derive(Debug, Default)]
-pub struct Rests(FxHashMap<ReplicaKey, Rest>);
+pub struct ReplicaBackoffs(FxHashMap<ReplicaKey, Rest>);
 
-impl Rests {
+impl ReplicaBackoffs {
     /// A replica turned a request away. Returns its rest where that is new.
-    pub fn on_turned_away(
+    pub fn on_rejected(
         &mut self,
         key: ReplicaKey,
-        signal: RestSignal,
+        signal: RetryAfterSignal,
         now_ms: MonoMs,
     ) -> Option<SpanMs> {
         let rest_ms = signal.span_ms()?;
@@ -118,7 +118,7 @@
     }
 
     /// Whether nothing is to be sent to a replica.
-    pub fn is_resting(&self, key: ReplicaKey, now_ms: MonoMs) -> bool {
+    pub fn is_backing_off(&self, key: ReplicaKey, now_ms: MonoMs) -> bool {
         self.0.get(&key).is_some_and(|rest| rest.until_ms > now_ms)
     }
 
--- a/crates/fleet/src/leaving/mod.rs
+++ b/crates/fleet/src/leaving/mod.rs
@@ -40,9 +40,9 @@
 
 /// The replicas that said that they leave.
 #[derive(Debug, Default)]
-pub struct Leavers(FxHashMap<ReplicaKey, Leaver>);
+pub struct LeavingReplicas(FxHashMap<ReplicaKey, Leaver>);
 
-impl Leavers {
+impl LeavingReplicas {
     /// An answer of the replica says that it leaves. Returns whether that is new.
     pub fn on_answer(&mut self, key: ReplicaKey, now_ms: MonoMs) -> bool {
         self.note(key, Origin::Answer, now_ms)
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -12,6 +12,7 @@
 //!
 //! [`MonoMs`]: bluebell_base::prelude::MonoMs
 
+pub mod backoff;
 pub mod budget;
 pub mod distribution;
 pub mod engine;
@@ -25,7 +26,6 @@
 pub mod placement;
 pub mod rendezvous;
 pub mod replicas;
-pub mod rest;
 pub mod serving;
 pub mod silence;
 pub mod stopping;
@@ -34,10 +34,11 @@
 
 /// What users of this package import.
 pub mod prelude {
+    pub use crate::backoff::{ReplicaBackoffs, RetryAfterSignal};
     pub use crate::budget::{RetryBudget, RetryLimits};
     pub use crate::engine::EngineSpec;
     pub use crate::freshness::{ConfigAges, ConfigFreshness, ConfigLag};
-    pub use crate::leaving::Leavers;
+    pub use crate::leaving::LeavingReplicas;
     pub use crate::ledger::{Ledger, OwnerId, Stage, Work, WorkId};
     pub use crate::limit::{
         Admission, LimitChange, LimitNotice, LimitReport, LimitSignal, Limits, Nodes, Source,
@@ -48,7 +49,6 @@
         Fingerprint, Replica, ReplicaChange, ReplicaKey, ReplicaStart, ReplicaState, ReplicaTable,
         Symptom,
     };
-    pub use crate::rest::{RestSignal, Rests};
     pub use crate::serving::{
         Account, ClientLimits, Route, RouteKind, RouteLookup, Service, ServingConfig, Split,
     };
--- a/crates/fleet/src/replicas/table.rs
+++ b/crates/fleet/src/replicas/table.rs
@@ -3,7 +3,7 @@
 //! Invariants: see [`super`]; a change that was taken in before changes nothing.
 
 use super::{Health, Replica, ReplicaChange, ReplicaKey, ReplicaStart, ReplicaState};
-use crate::leaving::Leavers;
+use crate::leaving::LeavingReplicas;
 use bluebell_base::prelude::*;
 use rustc_hash::{FxHashMap, FxHashSet, FxHasher};
 use serde::{Deserialize, Serialize};
@@ -57,7 +57,7 @@
 #[derive(Debug, Default)]
 pub struct ReplicaTable {
     /// The replicas whose answers said that they leave.
-    pub leavers: Leavers,
+    pub leaving_replicas: LeavingReplicas,
     rows: FxHashMap<ReplicaKey, Row>,
     /// The key of each known instance's latest start.
     keys: FxHashMap<Arc<str>, ReplicaKey>,
@@ -288,7 +288,8 @@
         self.removed
             .retain(|_, (_, at_ms)| now_ms.since(*at_ms) < REMOVED_REMEMBERED_MS);
         let rows = &self.rows;
-        self.leavers.expire(|key| rows.contains_key(&key), now_ms);
+        self.leaving_replicas
+            .expire(|key| rows.contains_key(&key), now_ms);
         if self.awaits_relisting(now_ms) {
             return Vec::new();
         }
@@ -344,7 +345,7 @@
 
     /// Whether a replica takes work, by its entry and by its answers.
     pub fn takes_work(&self, replica: &Replica) -> bool {
-        replica.state == ReplicaState::Ready && !self.leavers.contains(replica.key())
+        replica.state == ReplicaState::Ready && !self.leaving_replicas.contains(replica.key())
     }
 
     /// The replicas of `service` that take work, in the order that all nodes share.
--- a/crates/fleet/tests/leaving.rs
+++ b/crates/fleet/tests/leaving.rs
@@ -29,8 +29,8 @@
     let mut table = ReplicaTable::default();
     table.apply(listed("i-1", 1_000, 1), MonoMs(0));
     let key = ReplicaKey::of("i-1", ReplicaStart(1_000));
-    assert!(table.leavers.on_answer(key, MonoMs(100)));
-    assert!(!table.leavers.on_answer(key, MonoMs(200)));
+    assert!(table.leaving_replicas.on_answer(key, MonoMs(100)));
+    assert!(!table.leaving_replicas.on_answer(key, MonoMs(200)));
     assert!(ready(&table).is_empty());
     table.apply(listed("i-1", 1_000, 1), MonoMs(300));
     assert!(ready(&table).is_empty());
@@ -46,7 +46,7 @@
     let mut table = ReplicaTable::default();
     table.apply(listed("i-1", 1_000, 1), MonoMs(0));
     let key = ReplicaKey::of("i-1", ReplicaStart(1_000));
-    table.leavers.on_notified(key, MonoMs(100));
+    table.leaving_replicas.on_notified(key, MonoMs(100));
     table.apply(listed("i-1", 2_000, 1), MonoMs(200));
     assert_eq!(ready(&table), [Arc::from("i-1")]);
 }
@@ -54,21 +54,21 @@
 /// Guards against a replica that peers are notified of without end, or by all who were notified.
 #[test]
 fn peers_are_notified_by_who_heard_it_and_for_a_while() {
-    let mut leavers = Leavers::default();
-    leavers.on_answer(ReplicaKey(1), MonoMs(0));
-    leavers.on_notified(ReplicaKey(2), MonoMs(0));
-    assert_eq!(leavers.to_notify(MonoMs(5_000)), [ReplicaKey(1)]);
-    assert!(leavers.to_notify(MonoMs(20_000)).is_empty());
-    assert!(leavers.contains(ReplicaKey(1)));
+    let mut leaving_replicas = LeavingReplicas::default();
+    leaving_replicas.on_answer(ReplicaKey(1), MonoMs(0));
+    leaving_replicas.on_notified(ReplicaKey(2), MonoMs(0));
+    assert_eq!(leaving_replicas.to_notify(MonoMs(5_000)), [ReplicaKey(1)]);
+    assert!(leaving_replicas.to_notify(MonoMs(20_000)).is_empty());
+    assert!(leaving_replicas.contains(ReplicaKey(1)));
 }
 
 /// Guards against memory that grows with every replica that ever left.
 #[test]
 fn what_is_long_gone_is_forgotten() {
-    let mut leavers = Leavers::default();
-    leavers.on_answer(ReplicaKey(1), MonoMs(0));
-    leavers.on_answer(ReplicaKey(2), MonoMs(0));
-    leavers.expire(|key| key == ReplicaKey(1), MonoMs(700_000));
-    assert!(leavers.contains(ReplicaKey(1)));
-    assert!(!leavers.contains(ReplicaKey(2)));
+    let mut leaving_replicas = LeavingReplicas::default();
+    leaving_replicas.on_answer(ReplicaKey(1), MonoMs(0));
+    leaving_replicas.on_answer(ReplicaKey(2), MonoMs(0));
+    leaving_replicas.expire(|key| key == ReplicaKey(1), MonoMs(700_000));
+    assert!(leaving_replicas.contains(ReplicaKey(1)));
+    assert!(!leaving_replicas.contains(ReplicaKey(2)));
 }
--- a/crates/front/src/call/choose.rs
+++ b/crates/front/src/call/choose.rs
@@ -111,7 +111,7 @@
             let limited = Limited::WithinLimit;
             let asked = Asked {
                 limits: &state.limits,
-                rests: &state.rests,
+                replica_backoffs: &state.replica_backoffs,
             };
             let takers = Takers::of(&state.replicas, &asked, call, avoid, limited);
             !takers.ready.is_empty()
@@ -131,7 +131,7 @@
 /// What replicas asked for.
 struct Asked<'a> {
     limits: &'a Limits,
-    rests: &'a Rests,
+    replica_backoffs: &'a ReplicaBackoffs,
 }
 
 /// The replicas that may be chosen for a request.
@@ -176,17 +176,20 @@
         limited: Limited,
     ) -> Self {
         let now_ms = call.node.now_ms();
-        let Asked { limits, rests } = asked;
+        let Asked {
+            limits,
+            replica_backoffs,
+        } = asked;
         let mut ready = replicas.ready(&call.service.name);
         ready.retain(|(key, _, _)| !avoid.contains(key));
         let trusted = ready.iter().any(|(_, _, health)| health.admits(now_ms));
         ready.retain(|(_, _, health)| !trusted || health.admits(now_ms));
         let mut left_out = None;
-        if !limits.is_empty() || !rests.is_empty() {
+        if !limits.is_empty() || !replica_backoffs.is_empty() {
             // An engine that asks for little looks idle, and draws requests from all nodes at once.
             // Trust comes first: a replica that is doubted is none to fall back on.
             ready.retain(|(key, _, _)| {
-                let admission = match rests.admission(*key, now_ms) {
+                let admission = match replica_backoffs.admission(*key, now_ms) {
                     Admission::Now if limited == Limited::Never && limits.is_limited(*key) => {
                         Admission::OtherNodes
                     }
@@ -244,7 +247,7 @@
         let loads = state.ledger.loads(now_ms);
         let asked = Asked {
             limits: &state.limits,
-            rests: &state.rests,
+            replica_backoffs: &state.replica_backoffs,
         };
         let takers = Takers::of(&state.replicas, &asked, call, avoid, limited);
         let engines = takers.ready.iter().map(|(key, _, _)| *key);
@@ -343,7 +346,7 @@
         let limited = Limited::WithinLimit;
         let asked = Asked {
             limits: &state.limits,
-            rests: &state.rests,
+            replica_backoffs: &state.replica_backoffs,
         };
         let takers = Takers::of(&state.replicas, &asked, call, avoid, limited);
         let candidates: Vec<PlainCandidate> = takers
--- a/crates/front/src/call/held.rs
+++ b/crates/front/src/call/held.rs
@@ -35,7 +35,7 @@
         node.with(|state| {
             for engine in work.helpers.iter().chain([&work.first]) {
                 state.limits.on_sent(*engine, now_ms);
-                state.rests.on_sent(*engine, now_ms);
+                state.replica_backoffs.on_sent(*engine, now_ms);
             }
             state.ledger.put(id, work, now_ms);
         });
@@ -47,7 +47,7 @@
         let now_ms = node.now_ms();
         node.with(|state| {
             state.limits.on_sent(key, now_ms);
-            state.rests.on_sent(key, now_ms);
+            state.replica_backoffs.on_sent(key, now_ms);
             *state.calls.entry(key).or_default() += 1;
         });
         Self::begin(node, key, Holding::Call(key), false)
--- a/crates/front/src/call/tries.rs
+++ b/crates/front/src/call/tries.rs
@@ -250,7 +250,8 @@
         return Err(TryError::new(&why, Verdict::MayHaveRun, Symptom::Failed));
     }
     let now_ms = call.node.now_ms();
-    call.node.with(|state| state.rests.on_served(key, now_ms));
+    call.node
+        .with(|state| state.replica_backoffs.on_served(key, now_ms));
     Ok(Reply { answer, head, link })
 }
 
--- a/crates/front/src/gossip/send.rs
+++ b/crates/front/src/gossip/send.rs
@@ -45,7 +45,7 @@
     let now_ms = node.now_ms();
     let tells = notify_chance(node);
     limits::update_shares(node);
-    let (works, version, requests, limits, leavers) = node.with(|state| {
+    let (works, version, requests, limits, leaving_replicas) = node.with(|state| {
         let own = state.ledger.of_owner(node.owner);
         let works = own.map(|(sequence, work)| WorkGossip::of(sequence, work, now_ms));
         let version = state.config.as_ref().map(|c| c.version());
@@ -59,7 +59,7 @@
             version,
             requests.map(Gossip::Request),
             limits,
-            state.replicas.leavers.to_notify(now_ms),
+            state.replicas.leaving_replicas.to_notify(now_ms),
         )
     });
     let mut gossip = digest(works);
@@ -69,7 +69,7 @@
     gossip.extend(requests);
     gossip.extend(limits.into_iter().map(|told| Gossip::Limit(told.into())));
     gossip.extend(
-        leavers
+        leaving_replicas
             .into_iter()
             .map(|key| Gossip::Leaving { replica: key.0 }),
     );
--- a/crates/front/src/node/run.rs
+++ b/crates/front/src/node/run.rs
@@ -238,7 +238,7 @@
         let dropped = node.with(|state| {
             state.ledger.expire(now_ms - WORK_EXPIRES_MS);
             state.paces.expire(now_ms);
-            state.rests.expire(now_ms);
+            state.replica_backoffs.expire(now_ms);
             state.replicas.expire(now_ms)
         });
         for replica in dropped {
--- a/crates/front/src/node/state.rs
+++ b/crates/front/src/node/state.rs
@@ -30,7 +30,7 @@
     /// How many requests replicas take that named a limit.
     pub limits: Limits,
     /// The replicas that want no requests from this node for a while.
-    pub rests: Rests,
+    pub replica_backoffs: ReplicaBackoffs,
     /// This node's calls in hand, by plain replica.
     pub calls: FxHashMap<ReplicaKey, u32>,
     /// This node's share of the retry budget.
@@ -77,7 +77,7 @@
             ledger: Ledger::default(),
             paces: Paces::default(),
             limits: Limits::default(),
-            rests: Rests::default(),
+            replica_backoffs: ReplicaBackoffs::default(),
             calls: FxHashMap::default(),
             budget: RetryBudget::new(settings.retry_limits),
             quarantine: Quarantine::default(),
--- a/crates/front/src/outside/mod.rs
+++ b/crates/front/src/outside/mod.rs
@@ -276,7 +276,7 @@
     /// Whether it leaves.
     pub leaving: bool,
     /// For how long it wants no requests from this node.
-    pub rest: RestSignal,
+    pub rest: RetryAfterSignal,
 }
 
 /// How callers and replicas name things.
--- a/crates/front/src/signals/mod.rs
+++ b/crates/front/src/signals/mod.rs
@@ -43,14 +43,19 @@
 /// Takes down what an answer says, but for the replica's limit.
 pub fn note(node: &Node, key: ReplicaKey, signals: &ReplicaSignals) {
     let now_ms = node.now_ms();
-    if signals.leaving && node.with(|state| state.replicas.leavers.on_answer(key, now_ms)) {
+    if signals.leaving && node.with(|state| state.replicas.leaving_replicas.on_answer(key, now_ms))
+    {
         node.outbox.leaving(key);
         log_leaving(node, key, "answer");
     }
-    if signals.rest == RestSignal::Unreadable {
+    if signals.rest == RetryAfterSignal::Unreadable {
         log::debug!("{key} asks for a rest that can't be read");
     }
-    let rest_ms = node.with(|state| state.rests.on_turned_away(key, signals.rest, now_ms));
+    let rest_ms = node.with(|state| {
+        state
+            .replica_backoffs
+            .on_rejected(key, signals.rest, now_ms)
+    });
     if let Some(rest_ms) = rest_ms {
         let instance = name_of(node, key);
         node.journal
@@ -61,7 +66,7 @@
 /// A peer heard that a replica leaves.
 pub fn on_notified(node: &Node, key: ReplicaKey) {
     let now_ms = node.now_ms();
-    if node.with(|state| state.replicas.leavers.on_notified(key, now_ms)) {
+    if node.with(|state| state.replicas.leaving_replicas.on_notified(key, now_ms)) {
         log_leaving(node, key, "peer");
     }
 }
--- a/crates/front/src/watch/paces.rs
+++ b/crates/front/src/watch/paces.rs
@@ -47,7 +47,7 @@
         let ready = engines.flat_map(|service| state.replicas.ready(&service.name));
         let own = ready.filter(|(key, _, _)| {
             state.limits.admits_probe(*key, now_ms)
-                && !state.rests.is_resting(*key, now_ms)
+                && !state.replica_backoffs.is_backing_off(*key, now_ms)
                 && is_prober(node.owner, &peers, *key)
         });
         own.map(|(key, replica, _)| (key, replica.address))
