--- a/crates/fleet/src/distribution/mod.rs
+++ b/crates/fleet/src/distribution/mod.rs
@@ -17,7 +17,7 @@
 use crate::ledger::OwnerId;
 
 /// How many nodes of each failure domain read the directory.
-pub const READERS: usize = 3;
+pub const READERS_PER_DOMAIN: usize = 3;
 
 /// How many nodes copy from one.
 const CHILDREN: usize = 4;
@@ -36,15 +36,15 @@
     let mut order: Vec<OwnerId> = peers.iter().copied().filter(|peer| *peer < own).collect();
     // Identities are drawn at random, so their order spreads the work.
     let place = order.len();
-    if place < READERS {
+    if place < READERS_PER_DOMAIN {
         return ConfigRole::Reader;
     }
     order.sort_unstable();
-    ConfigRole::Follower(order[(place - READERS) / CHILDREN])
+    ConfigRole::Follower(order[(place - READERS_PER_DOMAIN) / CHILDREN])
 }
 
 /// How many readers failure domains of these sizes have together.
 pub fn readers(domain_sizes: impl IntoIterator<Item = usize>) -> usize {
     let sizes = domain_sizes.into_iter();
-    sizes.map(|size| size.min(READERS)).sum()
+    sizes.map(|size| size.min(READERS_PER_DOMAIN)).sum()
 }
--- a/crates/fleet/src/fanout/mod.rs
+++ b/crates/fleet/src/fanout/mod.rs
@@ -17,7 +17,7 @@
 
 mod timing;
 
-pub use timing::{digest_every, gather_for};
+pub use timing::{batch_delay, digest_interval};
 
 use bluebell_base::prelude::*;
 use rustc_hash::FxHasher;
@@ -32,7 +32,7 @@
 
 /// A peer, as far as it matters for how it is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listener {
+pub struct GossipPeer {
     /// Its run.
     pub owner: OwnerId,
     /// Its failure domain, once it is known.
@@ -47,14 +47,14 @@
     /// It announced itself and wasn't heard yet.
     Announced,
     /// It was heard lately.
-    There,
+    Live,
     /// It was heard, and no longer is.
     Silent,
 }
 
 /// What is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Telling {
+pub enum GossipKind {
     /// What just happened. Silent peers aren't told. Those that only announced themselves are: after a
     /// start of all nodes they would else place beside each other's work until the next digests.
     Change,
@@ -70,9 +70,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Route {
     /// For this peer alone.
-    To(OwnerId),
+    Direct(OwnerId),
     /// For this peer and, through it, for all others of its failure domain.
-    Through(OwnerId),
+    Relay(OwnerId),
 }
 
 /// The copies that `own` sends, which is in `domain`. Changes take the same relays as long as the
@@ -80,31 +80,31 @@
 pub fn routes(
     own: OwnerId,
     domain: &DomainName,
-    listeners: &[Listener],
-    telling: Telling,
+    gossip_peers: &[GossipPeer],
+    gossip_kind: GossipKind,
 ) -> Vec<Route> {
     let mut routes = Vec::new();
     let mut elsewhere: BTreeMap<&DomainName, Vec<OwnerId>> = BTreeMap::new();
-    for listener in listeners {
+    for listener in gossip_peers {
         match (listener.presence, &listener.domain) {
-            (Presence::Silent, _) if telling == Telling::Change => {}
-            (Presence::There, Some(other)) if other != domain => {
+            (Presence::Silent, _) if gossip_kind == GossipKind::Change => {}
+            (Presence::Live, Some(other)) if other != domain => {
                 elsewhere.entry(other).or_default().push(listener.owner);
             }
-            _ => routes.push(Route::To(listener.owner)),
+            _ => routes.push(Route::Direct(listener.owner)),
         }
     }
-    let turn = match telling {
-        Telling::Change => 0,
-        Telling::Digest { draw } => draw,
+    let turn = match gossip_kind {
+        GossipKind::Change => 0,
+        GossipKind::Digest { draw } => draw,
     };
     for peers in elsewhere.into_values() {
         if peers.len() <= DIRECT_PEERS {
-            routes.extend(peers.into_iter().map(Route::To));
+            routes.extend(peers.into_iter().map(Route::Direct));
             continue;
         }
         let relay = peers.into_iter().max_by_key(|peer| rank(own, *peer, turn));
-        routes.extend(relay.map(Route::Through));
+        routes.extend(relay.map(Route::Relay));
     }
     routes
 }
--- a/crates/fleet/src/fanout/timing.rs
+++ b/crates/fleet/src/fanout/timing.rs
@@ -27,12 +27,12 @@
 const LONGEST_GATHER_MS: SpanMs = SpanMs(200);
 
 /// How often a node that has `peers` sends a digest.
-pub fn digest_every(peers: usize) -> SpanMs {
+pub fn digest_interval(peers: usize) -> SpanMs {
     by_nodes(peers, DIGEST_EVERY_MS, LONGEST_DIGEST_EVERY_MS)
 }
 
 /// How long a node that has `peers` gathers gossip of work that got further.
-pub fn gather_for(peers: usize) -> SpanMs {
+pub fn batch_delay(peers: usize) -> SpanMs {
     by_nodes(peers, GATHER_MS, LONGEST_GATHER_MS)
 }
 
--- a/crates/fleet/tests/distribution.rs
+++ b/crates/fleet/tests/distribution.rs
@@ -1,6 +1,6 @@
 //! Who copies the configuration from whom.
 
-use bluebell_fleet::distribution::{self, ConfigRole, READERS};
+use bluebell_fleet::distribution::{self, ConfigRole, READERS_PER_DOMAIN};
 use bluebell_fleet::prelude::*;
 use std::collections::BTreeMap;
 
@@ -21,7 +21,7 @@
     for (count, deepest) in [(1, 0), (3, 0), (9, 1), (39, 2), (80, 3), (400, 4)] {
         let roles = roles(count);
         let readers = roles.values().filter(|role| **role == ConfigRole::Reader);
-        assert_eq!(readers.count(), count.min(READERS));
+        assert_eq!(readers.count(), count.min(READERS_PER_DOMAIN));
         let mut children = BTreeMap::new();
         for (own, role) in &roles {
             let mut depth = 0;
--- a/crates/fleet/tests/fanout.rs
+++ b/crates/fleet/tests/fanout.rs
@@ -2,7 +2,7 @@
 
 use bluebell_base::prelude::*;
 use bluebell_fleet::fanout::{
-    Listener, Presence, Route, Telling, digest_every, gather_for, routes,
+    GossipKind, GossipPeer, Presence, Route, batch_delay, digest_interval, routes,
 };
 use bluebell_fleet::prelude::*;
 use std::collections::BTreeMap;
@@ -12,30 +12,30 @@
 }
 
 /// A fleet of nodes in five failure domains; node `n` is in domain `n % 5`.
-fn nodes(count: u64) -> Vec<Listener> {
-    let node = |n: u64| Listener {
+fn nodes(count: u64) -> Vec<GossipPeer> {
+    let node = |n: u64| GossipPeer {
         owner: OwnerId(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
         domain: Some(domain(n % 5)),
-        presence: Presence::There,
+        presence: Presence::Live,
     };
     (0..count).map(node).collect()
 }
 
-fn routes_of(nodes: &[Listener], at: usize, telling: Telling) -> Vec<Route> {
+fn routes_of(nodes: &[GossipPeer], at: usize, gossip_kind: GossipKind) -> Vec<Route> {
     let mut peers = nodes.to_vec();
     let own = peers.remove(at);
-    routes(own.owner, &domain(at as u64 % 5), &peers, telling)
+    routes(own.owner, &domain(at as u64 % 5), &peers, gossip_kind)
 }
 
-const DIGEST: Telling = Telling::Digest { draw: 7 };
+const DIGEST: GossipKind = GossipKind::Digest { draw: 7 };
 
 /// Who hears gossip that goes by these routes, and how often.
-fn heard(nodes: &[Listener], own: OwnerId, routes: &[Route]) -> BTreeMap<OwnerId, u32> {
+fn heard(nodes: &[GossipPeer], own: OwnerId, routes: &[Route]) -> BTreeMap<OwnerId, u32> {
     let mut heard = BTreeMap::new();
     for route in routes {
         match route {
-            Route::To(peer) => *heard.entry(*peer).or_default() += 1,
-            Route::Through(relay) => {
+            Route::Direct(peer) => *heard.entry(*peer).or_default() += 1,
+            Route::Relay(relay) => {
                 let at = nodes.iter().find(|node| node.owner == *relay);
                 let domain = at.and_then(|node| node.domain.clone());
                 let there = nodes.iter().filter(|node| node.domain == domain);
@@ -62,7 +62,7 @@
                 assert_eq!(heard.len() as u64, count - 1, "{count} nodes");
                 let sound = nodes
                     .iter()
-                    .filter(|n| n.presence == Presence::There && n.domain.is_some());
+                    .filter(|n| n.presence == Presence::Live && n.domain.is_some());
                 let mut sound = sound.filter(|node| node.owner != own);
                 assert!(sound.all(|node| heard[&node.owner] == 1), "{count} nodes");
             }
@@ -79,8 +79,8 @@
 fn one_copy_crosses_to_each_failure_domain() {
     for count in [60, 195, 400] {
         let nodes = nodes(count);
-        let crossing = routes_of(&nodes, 0, Telling::Change).into_iter();
-        let crossing = crossing.filter(|route| matches!(route, Route::Through(_)));
+        let crossing = routes_of(&nodes, 0, GossipKind::Change).into_iter();
+        let crossing = crossing.filter(|route| matches!(route, Route::Relay(_)));
         assert_eq!(crossing.count(), 4);
     }
 }
@@ -91,9 +91,9 @@
 fn the_few_nodes_of_a_small_failure_domain_are_told_directly() {
     for count in [9, 22, 40] {
         let nodes = nodes(count);
-        let routes = routes_of(&nodes, 0, Telling::Change);
+        let routes = routes_of(&nodes, 0, GossipKind::Change);
         assert!(
-            routes.iter().all(|route| matches!(route, Route::To(_))),
+            routes.iter().all(|route| matches!(route, Route::Direct(_))),
             "{count} nodes"
         );
     }
@@ -106,8 +106,8 @@
     let nodes = nodes(200);
     let mut relays: BTreeMap<Route, u32> = BTreeMap::new();
     for at in 0..nodes.len() {
-        for route in routes_of(&nodes, at, Telling::Change) {
-            if matches!(route, Route::Through(_)) {
+        for route in routes_of(&nodes, at, GossipKind::Change) {
+            if matches!(route, Route::Relay(_)) {
                 *relays.entry(route).or_default() += 1;
             }
         }
@@ -122,23 +122,23 @@
 #[test]
 fn a_lost_relay_is_gone_round() {
     let mut nodes = nodes(60);
-    let through = |nodes: &[Listener], telling| -> Vec<Route> {
-        let routes = routes_of(nodes, 0, telling).into_iter();
+    let through = |nodes: &[GossipPeer], gossip_kind| -> Vec<Route> {
+        let routes = routes_of(nodes, 0, gossip_kind).into_iter();
         routes
-            .filter(|route| matches!(route, Route::Through(_)))
+            .filter(|route| matches!(route, Route::Relay(_)))
             .collect()
     };
-    let first = through(&nodes, Telling::Change);
-    let digests = (1..11).map(|draw| through(&nodes, Telling::Digest { draw }));
+    let first = through(&nodes, GossipKind::Change);
+    let digests = (1..11).map(|draw| through(&nodes, GossipKind::Digest { draw }));
     assert!(digests.filter(|digest| digest[0] != first[0]).count() >= 8);
-    let Route::Through(lost) = first[0] else {
+    let Route::Relay(lost) = first[0] else {
         panic!("{first:?}");
     };
     let at = nodes.iter().position(|node| node.owner == lost);
     nodes[at.expect("it is a node")].presence = Presence::Silent;
-    assert!(!through(&nodes, Telling::Change).contains(&Route::Through(lost)));
+    assert!(!through(&nodes, GossipKind::Change).contains(&Route::Relay(lost)));
     let digest = routes_of(&nodes, 0, DIGEST);
-    assert!(digest.contains(&Route::To(lost)), "it is told directly");
+    assert!(digest.contains(&Route::Direct(lost)), "it is told directly");
 }
 
 /// After a loss of power all drafts of half a second choose the same engines. The nodes had started again and
@@ -155,7 +155,7 @@
     let told = heard(
         &nodes,
         nodes[0].owner,
-        &routes_of(&nodes, 0, Telling::Change),
+        &routes_of(&nodes, 0, GossipKind::Change),
     );
     assert_eq!(told.len(), 18);
     assert!(!told.contains_key(&nodes[3].owner));
@@ -168,8 +168,8 @@
 #[test]
 fn news_is_gathered_for_longer_where_nodes_are_many() {
     let peers = [0, 8, 59, 89, 119, 194, 399];
-    let digests = peers.map(|peers| digest_every(peers).0);
+    let digests = peers.map(|peers| digest_interval(peers).0);
     assert_eq!(digests, [500, 500, 500, 750, 1_000, 1_000, 1_000]);
-    let gathered = peers.map(|peers| gather_for(peers).0);
+    let gathered = peers.map(|peers| batch_delay(peers).0);
     assert_eq!(gathered, [60, 60, 60, 90, 120, 195, 200]);
 }
--- a/crates/front/src/gossip/outbox.rs
+++ b/crates/front/src/gossip/outbox.rs
@@ -5,7 +5,7 @@
 use crate::outside::Era;
 use crate::watch::ReplicasNotice;
 use bluebell_base::prelude::*;
-use bluebell_fleet::fanout::{self, Listener, Presence, Route, Telling};
+use bluebell_fleet::fanout::{self, GossipKind, GossipPeer, Presence, Route};
 use bluebell_fleet::prelude::*;
 use bluebell_quarantine::prelude::*;
 use rustc_hash::FxHashMap;
@@ -26,7 +26,7 @@
 
 impl Peer {
     fn is_there(&self) -> bool {
-        self.presence == Presence::There
+        self.presence == Presence::Live
     }
 }
 
@@ -135,7 +135,7 @@
     }
 
     /// How many peers are there now.
-    pub fn peers_there(&self) -> usize {
+    pub fn live_peer_count(&self) -> usize {
         self.peers
             .borrow()
             .values()
@@ -144,7 +144,7 @@
     }
 
     /// The peers that are there now.
-    pub fn owners_there(&self) -> Vec<OwnerId> {
+    pub fn live_peers(&self) -> Vec<OwnerId> {
         let peers = self.peers.borrow();
         let there = peers.iter().filter(|(_, peer)| peer.is_there());
         there.map(|(owner, _)| *owner).collect()
@@ -197,21 +197,21 @@
     }
 
     /// Where gossip goes that `own` tells, and whether it is passed on there.
-    pub(super) fn copies(&self, own: &Origin, telling: Telling) -> Vec<(SocketAddr, bool)> {
+    pub(super) fn copies(&self, own: &Origin, gossip_kind: GossipKind) -> Vec<(SocketAddr, bool)> {
         let peers = self.peers.borrow();
-        let listeners: Vec<Listener> = peers
+        let gossip_peers: Vec<GossipPeer> = peers
             .iter()
-            .map(|(owner, peer)| Listener {
+            .map(|(owner, peer)| GossipPeer {
                 owner: *owner,
                 domain: peer.domain.clone(),
                 presence: peer.presence,
             })
             .collect();
         let domain = DomainName(own.domain.clone());
-        let routes = fanout::routes(OwnerId(own.owner), &domain, &listeners, telling);
+        let routes = fanout::routes(OwnerId(own.owner), &domain, &gossip_peers, gossip_kind);
         let copies = routes.into_iter().map(|route| match route {
-            Route::To(peer) => (peer, false),
-            Route::Through(peer) => (peer, true),
+            Route::Direct(peer) => (peer, false),
+            Route::Relay(peer) => (peer, true),
         });
         let copies =
             copies.filter_map(|(peer, pass_on)| Some((peers.get(&peer)?.address, pass_on)));
@@ -236,7 +236,7 @@
             address: origin.address,
             domain: Some(DomainName(origin.domain.clone())),
             heard_ms: now_ms,
-            presence: Presence::There,
+            presence: Presence::Live,
             config: peers.get(&owner).and_then(|peer| peer.config),
         };
         peers.insert(owner, peer);
@@ -247,7 +247,7 @@
     }
 
     /// A node's announcement was read; it counts as there only once it is heard.
-    pub fn announced(&self, owner: OwnerId, address: SocketAddr, now_ms: MonoMs) {
+    pub fn on_announced(&self, owner: OwnerId, address: SocketAddr, now_ms: MonoMs) {
         let mut peers = self.peers.borrow_mut();
         peers.entry(owner).or_insert(Peer {
             address,
--- a/crates/front/src/gossip/send.rs
+++ b/crates/front/src/gossip/send.rs
@@ -5,7 +5,7 @@
 use crate::journal::Event;
 use crate::limits;
 use crate::node::Node;
-use bluebell_fleet::fanout::{Telling, digest_every, gather_for};
+use bluebell_fleet::fanout::{GossipKind, batch_delay, digest_interval};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,19 +20,19 @@
             () = node.outbox.urgent.notified() => gather().await,
             () = node.outbox.patient.notified() => tokio::select! {
                 () = node.outbox.urgent.notified() => gather().await,
-                () = tokio::time::sleep(Duration::from(gather_for(node.outbox.peer_count()))) => {}
+                () = tokio::time::sleep(Duration::from(batch_delay(node.outbox.peer_count()))) => {}
             },
             () = tokio::time::sleep_until(digest_at) => {
-                let every_ms = digest_every(node.outbox.peer_count());
+                let every_ms = digest_interval(node.outbox.peer_count());
                 digest_at = Instant::now() + Duration::from(every_ms);
                 drop_silent(&node);
                 let draw = rand::random();
-                send_to_all(&node, &socket, own_digest(&node), Telling::Digest { draw });
+                send_to_all(&node, &socket, own_digest(&node), GossipKind::Digest { draw });
             }
         }
         let gossip = node.outbox.take();
         if !gossip.is_empty() {
-            send_to_all(&node, &socket, gossip, Telling::Change);
+            send_to_all(&node, &socket, gossip, GossipKind::Change);
         }
     }
 }
@@ -86,9 +86,9 @@
     (TOLD_BY / node.node_count() as f64).min(1.0)
 }
 
-fn send_to_all(node: &Node, socket: &UdpSocket, gossip: Vec<Gossip>, telling: Telling) {
+fn send_to_all(node: &Node, socket: &UdpSocket, gossip: Vec<Gossip>, gossip_kind: GossipKind) {
     let origin = origin(node);
-    let copies = node.outbox.copies(&origin, telling);
+    let copies = node.outbox.copies(&origin, gossip_kind);
     if copies.is_empty() {
         return;
     }
--- a/crates/front/src/limits/mod.rs
+++ b/crates/front/src/limits/mod.rs
@@ -39,7 +39,7 @@
     if !node.with(|state| state.limits.has_stale_shares(now_ms)) {
         return;
     }
-    let heard = node.outbox.owners_there();
+    let heard = node.outbox.live_peers();
     let nodes = Nodes {
         own: node.owner,
         heard: &heard,
--- a/crates/front/src/quarantine/mod.rs
+++ b/crates/front/src/quarantine/mod.rs
@@ -190,7 +190,7 @@
 
 /// Whether this node tries the request again once its term is over.
 pub fn is_reviewer(node: &Node, digest: &RequestDigest) -> bool {
-    let peers = node.outbox.owners_there();
+    let peers = node.outbox.live_peers();
     reviews(digest, node.owner.0, peers.iter().map(|owner| owner.0))
 }
 
--- a/crates/front/src/watch/config.rs
+++ b/crates/front/src/watch/config.rs
@@ -197,7 +197,7 @@
 /// Ends where the open read isn't to be relied on: a peer has known a newer version for a while, or
 /// the peers on which its length relied are no longer heard.
 async fn overtaken(node: &Node) {
-    let told = long_poll::can_rely_on_peers(node.outbox.peers_there());
+    let told = long_poll::can_rely_on_peers(node.outbox.live_peer_count());
     loop {
         let probe = tokio::time::sleep(Duration::from(PROBE_INTERVAL_MS));
         tokio::select! {
@@ -206,7 +206,7 @@
             }
             () = probe => {}
         }
-        let alone = told && !long_poll::can_rely_on_peers(node.outbox.peers_there());
+        let alone = told && !long_poll::can_rely_on_peers(node.outbox.live_peer_count());
         if alone || node.watching.is_behind() {
             return;
         }
--- a/crates/front/src/watch/era.rs
+++ b/crates/front/src/watch/era.rs
@@ -95,7 +95,7 @@
 }
 
 async fn spread(node: &Node) {
-    let longest_ms = node.outbox.peers_there() as u64 * PEER_SPREAD_MS;
+    let longest_ms = node.outbox.live_peer_count() as u64 * PEER_SPREAD_MS;
     let span_ms = SpanMs(rand::random_range(0..=longest_ms));
     tokio::time::sleep(Duration::from(span_ms)).await;
 }
--- a/crates/front/src/watch/follow.rs
+++ b/crates/front/src/watch/follow.rs
@@ -27,7 +27,7 @@
 /// The node from which this one copies the configuration; none where it is to read the directory.
 pub(super) fn parent(node: &Node) -> Option<OwnerId> {
     node.config_version()?;
-    if !long_poll::can_rely_on_peers(node.outbox.peers_there()) {
+    if !long_poll::can_rely_on_peers(node.outbox.live_peer_count()) {
         return None;
     }
     let peers = node.outbox.owners_in(&node.settings.domain);
--- a/crates/front/src/watch/nodes.rs
+++ b/crates/front/src/watch/nodes.rs
@@ -36,7 +36,7 @@
                 let now_ms = node.now_ms();
                 for entry in nodes.iter().filter(|entry| **entry != own) {
                     let owner = OwnerId(entry.incarnation.0);
-                    node.outbox.announced(owner, entry.address, now_ms);
+                    node.outbox.on_announced(owner, entry.address, now_ms);
                 }
             }
             Err(error) => {
--- a/crates/front/src/watch/paces.rs
+++ b/crates/front/src/watch/paces.rs
@@ -36,7 +36,7 @@
 
 /// The engines at which this node looks.
 fn own_part(node: &Node) -> Vec<(ReplicaKey, SocketAddr)> {
-    let peers = node.outbox.owners_there();
+    let peers = node.outbox.live_peers();
     let now_ms = node.now_ms();
     limits::update_shares(node);
     node.with(|state| {
--- a/crates/front/src/watch/quarantine.rs
+++ b/crates/front/src/watch/quarantine.rs
@@ -54,7 +54,7 @@
 }
 
 fn hears_most(node: &Node) -> bool {
-    node.outbox.peers_there() * 2 >= node.outbox.peer_count()
+    node.outbox.live_peer_count() * 2 >= node.outbox.peer_count()
 }
 
 /// Tells the directory how a request stands, until it knows.
--- a/crates/front/src/watch/replicas.rs
+++ b/crates/front/src/watch/replicas.rs
@@ -80,7 +80,7 @@
         };
         tokio::select! {
             () = node.watching.other_replicas.notified() => {
-                let peers = node.outbox.peers_there() as u64;
+                let peers = node.outbox.live_peer_count() as u64;
                 let spread_ms = (peers * PEER_SPREAD_MS).min(LONGEST_SPREAD_MS);
                 let pause_ms = rand::random_range(0..=spread_ms);
                 tokio::time::sleep(Duration::from_millis(pause_ms)).await;
