--- a/crates/front/src/call/fatal.rs
+++ b/crates/front/src/call/fatal.rs
@@ -6,7 +6,7 @@
 use super::tries::TryError;
 use crate::ends::{EndState, EndWatch};
 use crate::node::Node;
-use crate::quarantine::{self, SeenEnd};
+use crate::quarantine::{self, ObservedCrash};
 use bluebell_base::prelude::*;
 use bluebell_fleet::placement::Refusal;
 use bluebell_fleet::prelude::*;
@@ -65,7 +65,7 @@
         return;
     };
     let node = call.node.clone();
-    let end = SeenEnd {
+    let end = ObservedCrash {
         request: call.head.request.clone(),
         digest: call.digest(),
         replica: chosen.replica.clone(),
@@ -73,7 +73,7 @@
         at_ms: node.now_ms(),
     };
     if broken.ended {
-        quarantine::on_end(&node, end);
+        quarantine::on_crash(&node, end);
         return;
     }
     let found = node.ends.ask(&node, &chosen.replica);
@@ -84,17 +84,17 @@
     let asked = tokio::time::timeout(Duration::from(WAIT_MS), asked).await;
     if matches!(asked, Ok(Ok(state)) if *state == EndState::Ended) {
         // Noted twice it counts once, and has to be before the request goes on.
-        quarantine::on_end(&node, end);
+        quarantine::on_crash(&node, end);
     }
 }
 
 /// Notes an end once it is known for one.
-async fn note_end(node: Rc<Node>, end: SeenEnd, mut found: EndWatch) {
+async fn note_end(node: Rc<Node>, end: ObservedCrash, mut found: EndWatch) {
     // The check outlives whoever asks, so it is never gone without an answer.
     let found = found.wait_for(EndState::is_final).await;
     let ended = matches!(found, Ok(state) if *state == EndState::Ended);
     if ended {
-        quarantine::on_end(&node, end);
+        quarantine::on_crash(&node, end);
     }
 }
 
@@ -107,7 +107,7 @@
 
 fn may_be_known(call: &Call) -> bool {
     call.node
-        .with(|state| state.quarantine.may_know(&call.body))
+        .with(|state| state.quarantine.may_contain(&call.body))
 }
 
 /// Why the request isn't run; none where it may be.
@@ -118,8 +118,8 @@
     let node: &Rc<Node> = &call.node;
     let digest = call.digest();
     let now_ms = node.now_ms();
-    let standing = node.with(|state| state.quarantine.standing(&digest, now_ms));
-    let Standing::Quarantined { review_in_ms } = standing else {
+    let status = node.with(|state| state.quarantine.status(&digest, now_ms));
+    let QuarantineStatus::Quarantined { review_in_ms } = status else {
         return None;
     };
     if review_in_ms == SpanMs::ZERO && is_tried(call, &digest) {
--- a/crates/front/src/gossip/message.rs
+++ b/crates/front/src/gossip/message.rs
@@ -56,7 +56,7 @@
     /// An engine takes this many hundredths of its configured time for its work.
     Pace { replica: u32, pace_pct: u32 },
     /// A request ends replicas, or doesn't.
-    Request(Told),
+    Request(QuarantineNotice),
     /// A replica takes so many requests a second from all nodes together, or any number.
     Limit(LimitGossip),
     /// An answer of a replica says that it leaves.
--- a/crates/front/src/gossip/outbox.rs
+++ b/crates/front/src/gossip/outbox.rs
@@ -100,7 +100,7 @@
     }
 
     /// Tells what is known of a request that ends replicas.
-    pub fn request(&self, told: Told) {
+    pub fn request(&self, told: QuarantineNotice) {
         self.push(Gossip::Request(told));
     }
 
--- a/crates/front/src/quarantine/mod.rs
+++ b/crates/front/src/quarantine/mod.rs
@@ -46,10 +46,10 @@
     }
 
     /// Whether this node's peers hear of it from here.
-    fn is_notified(self, turn: Turn) -> bool {
+    fn is_notified(self, turn: QuarantineChange) -> bool {
         match turn {
             // All nodes judge alike: those that saw an end tell of it.
-            Turn::Quarantined { seen, .. } => seen && self == How::Judged,
+            QuarantineChange::Quarantined { seen, .. } => seen && self == How::Judged,
             _ => matches!(self, How::Served | How::Lifted),
         }
     }
@@ -57,7 +57,7 @@
 
 /// A replica that ended under a try of this node.
 #[derive(Clone, Debug)]
-pub struct SeenEnd {
+pub struct ObservedCrash {
     /// The id of the arrival whose try it was.
     pub request: Arc<str>,
     /// The request.
@@ -71,8 +71,8 @@
 }
 
 /// A replica ended under a request of this node.
-pub fn on_end(node: &Rc<Node>, end: SeenEnd) {
-    let SeenEnd {
+pub fn on_crash(node: &Rc<Node>, end: ObservedCrash) {
+    let ObservedCrash {
         request,
         digest,
         replica,
@@ -80,13 +80,13 @@
         at_ms,
     } = end;
     let run = ServerRun(replica.key().0);
-    let turn = node.with(|state| state.quarantine.on_end(digest, run, evidence, at_ms));
-    if turn == Turn::None {
+    let turn = node.with(|state| state.quarantine.on_crash(digest, run, evidence, at_ms));
+    if turn == QuarantineChange::None {
         return;
     }
     let times = (at_ms, node.now_ms());
     node.outbox
-        .request(Quarantine::end_notice(digest, run, evidence, times));
+        .request(Quarantine::crash_notice(digest, run, evidence, times));
     node.journal.record(&Event::ReplicaEnded {
         instance: replica.instance.clone(),
         request,
@@ -110,16 +110,16 @@
     let now_ms = node.now_ms();
     let turn = node.with(|state| state.quarantine.clear(digest, now_ms));
     on_turn(node, digest, turn, how);
-    turn == Turn::Cleared { quarantined: true }
+    turn == QuarantineChange::Cleared { quarantined: true }
 }
 
 /// A peer told something.
-pub fn on_notified(node: &Rc<Node>, told: Told) {
+pub fn on_notified(node: &Rc<Node>, told: QuarantineNotice) {
     let now_ms = node.now_ms();
     let (digest, turn) = node.with(|state| state.quarantine.on_notified(told, now_ms));
     let how = match told {
-        Told::Ended { .. } => How::Judged,
-        Told::Quarantined { .. } | Told::Cleared { .. } => How::Told,
+        QuarantineNotice::Ended { .. } => How::Judged,
+        QuarantineNotice::Quarantined { .. } | QuarantineNotice::Cleared { .. } => How::Told,
     };
     on_turn(node, digest, turn, how);
 }
@@ -135,7 +135,7 @@
 pub fn expire(node: &Rc<Node>) {
     let now_ms = node.now_ms();
     for digest in node.with(|state| state.quarantine.expire(now_ms)) {
-        let turn = Turn::Cleared { quarantined: true };
+        let turn = QuarantineChange::Cleared { quarantined: true };
         on_turn(node, digest, turn, How::Forgotten);
     }
 }
@@ -144,7 +144,7 @@
 fn judge_soon(node: &Rc<Node>) {
     let node = node.clone();
     spawn_local(async move {
-        tokio::time::sleep(Duration::from(JUDGED_AFTER_MS)).await;
+        tokio::time::sleep(Duration::from(DETECTION_DELAY_MS)).await;
         let now_ms = node.now_ms();
         for (digest, turn) in node.with(|state| state.quarantine.judge(now_ms)) {
             on_turn(&node, digest, turn, How::Judged);
@@ -153,12 +153,12 @@
 }
 
 /// Logs, tells and stores what changed.
-fn on_turn(node: &Rc<Node>, digest: RequestDigest, turn: Turn, how: How) {
+fn on_turn(node: &Rc<Node>, digest: RequestDigest, turn: QuarantineChange, how: How) {
     let now_ms = node.now_ms();
     let quarantined = match turn {
-        Turn::None | Turn::Ended { judged: false } => return,
-        Turn::Ended { judged: true } => return judge_soon(node),
-        Turn::Quarantined { term, .. } => {
+        QuarantineChange::None | QuarantineChange::Ended { judged: false } => return,
+        QuarantineChange::Ended { judged: true } => return judge_soon(node),
+        QuarantineChange::Quarantined { term, .. } => {
             node.journal.record(&Event::RequestQuarantined {
                 digest,
                 term,
@@ -166,7 +166,7 @@
             });
             true
         }
-        Turn::Cleared { quarantined } => {
+        QuarantineChange::Cleared { quarantined } => {
             if quarantined {
                 node.journal.record(&Event::QuarantineEnded {
                     digest,
--- a/crates/quarantine/src/verdict/mod.rs
+++ b/crates/quarantine/src/detection/mod.rs
@@ -31,7 +31,7 @@
 
 /// How old an end is before it is judged: by then nodes have told what else ended with it. Nodes see
 /// an end within some 10 ms of each other and tell it within some 10 ms more.
-pub const JUDGED_AFTER_MS: SpanMs = SpanMs(150);
+pub const DETECTION_DELAY_MS: SpanMs = SpanMs(150);
 
 /// All runs of servers that ended lately, under whatever request.
 #[derive(Debug, Default)]
@@ -88,7 +88,7 @@
         }
         let own: FxHashSet<ServerRun> = record.ends().iter().map(|end| end.run).collect();
         let counted = |end: &&End| {
-            let old = self.now_ms.since(end.at_ms) >= JUDGED_AFTER_MS;
+            let old = self.now_ms.since(end.at_ms) >= DETECTION_DELAY_MS;
             old && !explained.contains(&end.run) && self.is_specific(end.run, &own)
         };
         let counted: Vec<&End> = record.ends().iter().filter(counted).collect();
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -18,19 +18,19 @@
 //! [`MonoMs`](bluebell_base::prelude::MonoMs); what nodes tell each other may come twice, late and in
 //! any order.
 
+pub mod detection;
 pub mod digest;
 pub mod evidence;
+pub mod notice;
 mod record;
 pub mod review;
 pub mod table;
-pub mod told;
-pub mod verdict;
 
 /// What users of this package import.
 pub mod prelude {
+    pub use crate::detection::DETECTION_DELAY_MS;
     pub use crate::digest::{RequestDigest, RequestParts};
     pub use crate::evidence::{Evidence, ServerRun};
-    pub use crate::table::{Quarantine, Standing, Term, Turn};
-    pub use crate::told::Told;
-    pub use crate::verdict::JUDGED_AFTER_MS;
+    pub use crate::notice::QuarantineNotice;
+    pub use crate::table::{Quarantine, QuarantineChange, QuarantineStatus, Term};
 }
--- a/crates/quarantine/src/told/mod.rs
+++ b/crates/quarantine/src/notice/mod.rs
@@ -9,7 +9,7 @@
 
 /// One piece of what is known of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Told {
+pub enum QuarantineNotice {
     /// A run of a server ended under it.
     Ended {
         /// The request.
--- a/crates/quarantine/src/table/mod.rs
+++ b/crates/quarantine/src/table/mod.rs
@@ -7,11 +7,11 @@
 
 pub use term::Term;
 
+use crate::detection::{ENDS, EndedRuns, Judge};
 use crate::digest::RequestDigest;
 use crate::evidence::{Evidence, ServerRun};
+use crate::notice::QuarantineNotice;
 use crate::record::{COUNTS_MS, End, Record, Sentence};
-use crate::told::Told;
-use crate::verdict::{ENDS, EndedRuns, Judge};
 use bluebell_base::prelude::*;
 use rustc_hash::{FxHashMap, FxHashSet};
 
@@ -33,7 +33,7 @@
 
 /// How a request stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum QuarantineStatus {
     /// Nothing speaks against running it.
     Free,
     /// It is run no more.
@@ -45,7 +45,7 @@
 
 /// What the table learned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum QuarantineChange {
     /// Nothing new.
     None,
     /// A run of a server ended under the request.
@@ -76,16 +76,16 @@
 
 impl Quarantine {
     /// Whether something may be known of a request with this body; if not, it needs no digest.
-    pub fn may_know(&self, body: &[u8]) -> bool {
+    pub fn may_contain(&self, body: &[u8]) -> bool {
         self.records.keys().any(|digest| digest.may_be_of(body))
     }
 
     /// How a request stands.
-    pub fn standing(&self, digest: &RequestDigest, now_ms: MonoMs) -> Standing {
+    pub fn status(&self, digest: &RequestDigest, now_ms: MonoMs) -> QuarantineStatus {
         let record = self.records.get(digest);
         match record.and_then(|record| record.sentence) {
-            None => Standing::Free,
-            Some(sentence) => Standing::Quarantined {
+            None => QuarantineStatus::Free,
+            Some(sentence) => QuarantineStatus::Quarantined {
                 review_in_ms: sentence.review_ms().since(now_ms),
             },
         }
@@ -112,13 +112,13 @@
     }
 
     /// This node saw a server end under a request at `at_ms`.
-    pub fn on_end(
+    pub fn on_crash(
         &mut self,
         digest: RequestDigest,
         run: ServerRun,
         evidence: Evidence,
         at_ms: MonoMs,
-    ) -> Turn {
+    ) -> QuarantineChange {
         let end = End {
             run,
             evidence,
@@ -128,24 +128,24 @@
         self.take_end(digest, end)
     }
 
-    fn take_end(&mut self, digest: RequestDigest, end: End) -> Turn {
+    fn take_end(&mut self, digest: RequestDigest, end: End) -> QuarantineChange {
         self.runs.add(end.run, end.at_ms);
         let record = self.records.entry(digest).or_default();
         if !record.add(end) {
-            return Turn::None;
+            return QuarantineChange::None;
         }
         if let Some(sentence) = &mut record.sentence {
-            return sentence.on_end(&end);
+            return sentence.on_crash(&end);
         }
         let judged = record.ends().len() >= ENDS;
         self.keep_few_suspects();
-        Turn::Ended { judged }
+        QuarantineChange::Ended { judged }
     }
 
     /// Judges all suspects; returns those that are run no more from now on.
     ///
     /// Those with most ends first: what they explain isn't held against what was beside them.
-    pub fn judge(&mut self, now_ms: MonoMs) -> Vec<(RequestDigest, Turn)> {
+    pub fn judge(&mut self, now_ms: MonoMs) -> Vec<(RequestDigest, QuarantineChange)> {
         let suspects = self.records.iter();
         let suspects = suspects.filter(|(_, r)| r.sentence.is_none() && r.ends().len() >= ENDS);
         let mut suspects: Vec<(usize, RequestDigest)> = suspects
@@ -181,11 +181,11 @@
             .collect()
     }
 
-    fn put(&mut self, digest: RequestDigest, since_ms: MonoMs, term: Term) -> Turn {
+    fn put(&mut self, digest: RequestDigest, since_ms: MonoMs, term: Term) -> QuarantineChange {
         let record = self.records.entry(digest).or_default();
         let known = record.sentence.map(|s| (s.since_ms, s.term));
         if !record.counts(since_ms) || known.is_some_and(|known| known >= (since_ms, term)) {
-            return Turn::None;
+            return QuarantineChange::None;
         }
         record.sentence = Some(Sentence {
             since_ms,
@@ -195,32 +195,37 @@
         let seen = record.ends().iter().any(|end| end.own);
         self.keep_few_quarantined();
         match known {
-            Some((_, known)) if known == term => Turn::None,
-            _ => Turn::Quarantined { term, seen },
+            Some((_, known)) if known == term => QuarantineChange::None,
+            _ => QuarantineChange::Quarantined { term, seen },
         }
     }
 
     /// The platform remembers that a request was put into quarantine, some time ago.
-    pub fn on_stored(&mut self, digest: RequestDigest, term: Term, now_ms: MonoMs) -> Turn {
+    pub fn on_stored(
+        &mut self,
+        digest: RequestDigest,
+        term: Term,
+        now_ms: MonoMs,
+    ) -> QuarantineChange {
         let known = self.records.get(&digest);
         if known.is_some_and(|record| record.sentence.is_some()) {
-            return Turn::None;
+            return QuarantineChange::None;
         }
         self.put(digest, now_ms, term)
     }
 
     /// A request was served whole, or an operator lets it out: what was known of it counts no more.
-    pub fn clear(&mut self, digest: RequestDigest, now_ms: MonoMs) -> Turn {
+    pub fn clear(&mut self, digest: RequestDigest, now_ms: MonoMs) -> QuarantineChange {
         // Where there is nothing to forget, nothing is noted: what comes and is served all the time
         // would be told to all peers for ever.
         match self.records.get(&digest).is_some_and(Record::accuses) {
             true => self.clear_at(digest, now_ms, true),
-            false => Turn::None,
+            false => QuarantineChange::None,
         }
     }
 
     /// Notes it also of a request of which nothing is known yet: gossip of its ends may come later.
-    fn clear_at(&mut self, digest: RequestDigest, at_ms: MonoMs, own: bool) -> Turn {
+    fn clear_at(&mut self, digest: RequestDigest, at_ms: MonoMs, own: bool) -> QuarantineChange {
         let record = self.records.entry(digest).or_default();
         let sentence = record.sentence;
         let cleared = record.clear(at_ms, own);
@@ -230,10 +235,10 @@
             record.sentence = None;
         }
         match cleared {
-            true => Turn::Cleared {
+            true => QuarantineChange::Cleared {
                 quarantined: sentence.is_some() && self.term(&digest).is_none(),
             },
-            false => Turn::None,
+            false => QuarantineChange::None,
         }
     }
 
@@ -247,10 +252,14 @@
     }
 
     /// A peer told something.
-    pub fn on_notified(&mut self, told: Told, now_ms: MonoMs) -> (RequestDigest, Turn) {
+    pub fn on_notified(
+        &mut self,
+        told: QuarantineNotice,
+        now_ms: MonoMs,
+    ) -> (RequestDigest, QuarantineChange) {
         let at = |age_ms: u32| now_ms - SpanMs(u64::from(age_ms));
         match told {
-            Told::Ended {
+            QuarantineNotice::Ended {
                 digest,
                 run,
                 evidence,
@@ -264,12 +273,12 @@
                 };
                 (digest, self.take_end(digest, end))
             }
-            Told::Quarantined {
+            QuarantineNotice::Quarantined {
                 digest,
                 age_ms,
                 term,
             } => (digest, self.put(digest, at(age_ms), term)),
-            Told::Cleared { digest, age_ms } => {
+            QuarantineNotice::Cleared { digest, age_ms } => {
                 let turn = self.clear_at(digest, at(age_ms), false);
                 self.keep_few_suspects();
                 (digest, turn)
@@ -278,26 +287,26 @@
     }
 
     /// What is told of a request that has just been put into quarantine, or cleared.
-    pub fn notice(&self, digest: &RequestDigest, now_ms: MonoMs) -> Option<Told> {
+    pub fn notice(&self, digest: &RequestDigest, now_ms: MonoMs) -> Option<QuarantineNotice> {
         let record = self.records.get(digest)?;
         if let Some(sentence) = record.sentence {
             return Some(told_sentence(digest, &sentence, now_ms));
         }
         let (at_ms, _) = record.cleared?;
-        Some(Told::Cleared {
+        Some(QuarantineNotice::Cleared {
             digest: *digest,
             age_ms: age(at_ms, now_ms),
         })
     }
 
     /// What is told of an end that was seen at `at_ms`.
-    pub fn end_notice(
+    pub fn crash_notice(
         digest: RequestDigest,
         run: ServerRun,
         evidence: Evidence,
         (at_ms, now_ms): (MonoMs, MonoMs),
-    ) -> Told {
-        Told::Ended {
+    ) -> QuarantineNotice {
+        QuarantineNotice::Ended {
             digest,
             run,
             evidence,
@@ -306,30 +315,29 @@
     }
 
     /// What is told again of what this node saw itself a moment ago.
-    pub fn repeated_notices(&self, now_ms: MonoMs) -> Vec<Told> {
+    pub fn repeated_notices(&self, now_ms: MonoMs) -> Vec<QuarantineNotice> {
         let mut told = Vec::new();
         for (digest, record) in &self.records {
             let fresh = |at_ms: MonoMs| now_ms.since(at_ms) < TOLD_AGAIN_MS;
             let ends = record.ends().iter();
-            told.extend(
-                ends.filter(|end| end.own && fresh(end.at_ms))
-                    .map(|end| Told::Ended {
-                        digest: *digest,
-                        run: end.run,
-                        evidence: end.evidence,
-                        age_ms: age(end.at_ms, now_ms),
-                    }),
-            );
+            told.extend(ends.filter(|end| end.own && fresh(end.at_ms)).map(|end| {
+                QuarantineNotice::Ended {
+                    digest: *digest,
+                    run: end.run,
+                    evidence: end.evidence,
+                    age_ms: age(end.at_ms, now_ms),
+                }
+            }));
             let cleared = record.cleared.filter(|(at_ms, own)| *own && fresh(*at_ms));
-            told.extend(cleared.map(|(at_ms, _)| Told::Cleared {
+            told.extend(cleared.map(|(at_ms, _)| QuarantineNotice::Cleared {
                 digest: *digest,
                 age_ms: age(at_ms, now_ms),
             }));
         }
         told.sort_unstable_by_key(|told| match told {
-            Told::Ended { age_ms, .. }
-            | Told::Cleared { age_ms, .. }
-            | Told::Quarantined { age_ms, .. } => *age_ms,
+            QuarantineNotice::Ended { age_ms, .. }
+            | QuarantineNotice::Cleared { age_ms, .. }
+            | QuarantineNotice::Quarantined { age_ms, .. } => *age_ms,
         });
         told.truncate(TOLD_AT_ONCE);
         told
@@ -337,7 +345,11 @@
 
     /// Some of the requests in quarantine, for peers that missed them: `draw` says of each whether it
     /// is told now.
-    pub fn quarantine_notices(&self, now_ms: MonoMs, draw: impl FnMut() -> bool) -> Vec<Told> {
+    pub fn quarantine_notices(
+        &self,
+        now_ms: MonoMs,
+        draw: impl FnMut() -> bool,
+    ) -> Vec<QuarantineNotice> {
         let mut draw = draw;
         let sentences = self.records.iter();
         let sentences = sentences.filter_map(|(digest, record)| Some((digest, record.sentence?)));
@@ -405,14 +417,14 @@
 impl Sentence {
     /// Another server ended under the request. At a trial that begins a longer term; before it, the
     /// request was under way when it was put into quarantine, and nothing changes.
-    fn on_end(&mut self, end: &End) -> Turn {
+    fn on_crash(&mut self, end: &End) -> QuarantineChange {
         if end.at_ms < self.review_ms() {
-            return Turn::None;
+            return QuarantineChange::None;
         }
         self.since_ms = end.at_ms;
         self.term = self.term.next();
         self.trial_at_ms = None;
-        Turn::Quarantined {
+        QuarantineChange::Quarantined {
             term: self.term,
             seen: end.own,
         }
@@ -427,8 +439,8 @@
     u32::try_from(now_ms.since(at_ms).0).unwrap_or(u32::MAX)
 }
 
-fn told_sentence(digest: &RequestDigest, sentence: &Sentence, now_ms: MonoMs) -> Told {
-    Told::Quarantined {
+fn told_sentence(digest: &RequestDigest, sentence: &Sentence, now_ms: MonoMs) -> QuarantineNotice {
+    QuarantineNotice::Quarantined {
         digest: *digest,
         age_ms: age(sentence.since_ms, now_ms),
         term: sentence.term,
--- a/crates/quarantine/tests/table.rs
+++ b/crates/quarantine/tests/table.rs
@@ -19,14 +19,14 @@
 }
 
 fn is_free(table: &Quarantine, number: u32, ms: u64) -> bool {
-    table.standing(&digest(number), at(ms)) == Standing::Free
+    table.status(&digest(number), at(ms)) == QuarantineStatus::Free
 }
 
 /// Ends of request 1: at which ms, and under what evidence; returns whether it is free after them.
 fn free_after(ends: &[(u64, Evidence)]) -> bool {
     let mut table = Quarantine::default();
     for (run, (ms, evidence)) in ends.iter().enumerate() {
-        table.on_end(digest(1), ServerRun(run as u32), *evidence, at(*ms));
+        table.on_crash(digest(1), ServerRun(run as u32), *evidence, at(*ms));
     }
     table.judge(at(60_000));
     is_free(&table, 1, 60_000)
@@ -85,7 +85,7 @@
         for replica in 0..8 {
             let run = ServerRun(wave * 8 + replica);
             let of_many = digest(100 + wave * 8 + replica);
-            table.on_end(
+            table.on_crash(
                 of_many,
                 run,
                 Evidence::Running,
@@ -93,7 +93,7 @@
             );
         }
         let run = ServerRun(wave * 8 + 3);
-        table.on_end(digest(1), run, Evidence::Running, at(ms + 18));
+        table.on_crash(digest(1), run, Evidence::Running, at(ms + 18));
     }
     assert_eq!(table.judge(at(20_000)), []);
 }
@@ -104,7 +104,7 @@
 fn what_is_on_all_that_end_is_to_blame() {
     let mut table = Quarantine::default();
     for (run, ms) in [(0, 0), (1, 20), (2, 30), (3, 60), (4, 900), (5, 920)] {
-        table.on_end(digest(1), ServerRun(run), Evidence::Running, at(ms));
+        table.on_crash(digest(1), ServerRun(run), Evidence::Running, at(ms));
     }
     assert_eq!(table.judge(at(2_000)).len(), 1);
 }
@@ -115,9 +115,9 @@
 fn what_another_explains_does_not_count() {
     let mut table = Quarantine::default();
     for (run, ms) in [(0, 0), (1, 500), (2, 1_000), (3, 1_500)] {
-        table.on_end(digest(1), ServerRun(run), Evidence::Running, at(ms));
+        table.on_crash(digest(1), ServerRun(run), Evidence::Running, at(ms));
         if run > 0 {
-            table.on_end(digest(2), ServerRun(run), Evidence::Running, at(ms));
+            table.on_crash(digest(2), ServerRun(run), Evidence::Running, at(ms));
         }
     }
     let judged = table.judge(at(2_000));
@@ -131,7 +131,7 @@
 fn one_run_ends_once() {
     let mut table = Quarantine::default();
     for ms in [0, 500, 1_000, 1_500] {
-        table.on_end(digest(1), ServerRun(7), Evidence::Running, at(ms));
+        table.on_crash(digest(1), ServerRun(7), Evidence::Running, at(ms));
     }
     table.judge(at(2_000));
     assert!(is_free(&table, 1, 2_000));
@@ -146,7 +146,7 @@
         let ms = round * 10_000;
         for end in 0..2 {
             let run = ServerRun((round * 2 + end) as u32);
-            table.on_end(digest(1), run, Evidence::Running, at(ms + end * 400));
+            table.on_crash(digest(1), run, Evidence::Running, at(ms + end * 400));
         }
         table.judge(at(ms + 4_000));
         table.clear(digest(1), at(ms + 5_000));
@@ -154,7 +154,7 @@
     assert!(is_free(&table, 1, 200_000));
     assert_eq!(
         table.clear(digest(2), at(0)),
-        Turn::None,
+        QuarantineChange::None,
         "nothing is known of it"
     );
 }
@@ -163,13 +163,13 @@
 #[test]
 fn ends_from_before_a_success_count_no_more() {
     let mut table = Quarantine::default();
-    let cleared = Told::Cleared {
+    let cleared = QuarantineNotice::Cleared {
         digest: digest(1),
         age_ms: 0,
     };
     table.on_notified(cleared, at(2_000));
     for run in 0..4 {
-        let told = Told::Ended {
+        let told = QuarantineNotice::Ended {
             digest: digest(1),
             run: ServerRun(run),
             evidence: Evidence::Running,
@@ -179,26 +179,26 @@
     }
     table.judge(at(4_000));
     assert!(is_free(&table, 1, 3_000));
-    let told = Told::Quarantined {
+    let told = QuarantineNotice::Quarantined {
         digest: digest(1),
         age_ms: 1_500,
         term: Term::FIRST,
     };
-    assert_eq!(table.on_notified(told, at(3_000)).1, Turn::None);
+    assert_eq!(table.on_notified(told, at(3_000)).1, QuarantineChange::None);
     assert!(is_free(&table, 1, 3_000));
 }
 
 fn in_quarantine() -> Quarantine {
     let mut table = Quarantine::default();
     for (run, ms) in [(0, 0), (1, 400), (2, 800)] {
-        table.on_end(digest(1), ServerRun(run), Evidence::Running, at(ms));
+        table.on_crash(digest(1), ServerRun(run), Evidence::Running, at(ms));
     }
     assert_eq!(
         table.judge(at(800 + 149)),
         [],
         "what else ended isn't known yet"
     );
-    let first = Turn::Quarantined {
+    let first = QuarantineChange::Quarantined {
         term: Term::FIRST,
         seen: true,
     };
@@ -221,8 +221,8 @@
         "one is under way"
     );
     assert!(!is_free(&table, 1, review + 500));
-    let ended = table.on_end(digest(1), ServerRun(9), Evidence::Running, at(review + 600));
-    let longer = Turn::Quarantined {
+    let ended = table.on_crash(digest(1), ServerRun(9), Evidence::Running, at(review + 600));
+    let longer = QuarantineChange::Quarantined {
         term: Term::FIRST.next(),
         seen: true,
     };
@@ -232,7 +232,7 @@
     assert!(!table.begin_trial(&digest(1), at(review + 600 + longer - 1)));
     assert!(table.begin_trial(&digest(1), at(review + 600 + longer)));
     let served = table.clear(digest(1), at(review + 700 + longer));
-    assert_eq!(served, Turn::Cleared { quarantined: true });
+    assert_eq!(served, QuarantineChange::Cleared { quarantined: true });
     assert!(is_free(&table, 1, review + 700 + longer));
 }
 
@@ -249,12 +249,12 @@
 #[test]
 fn ends_of_what_was_under_way_change_nothing() {
     let mut table = in_quarantine();
-    let more = table.on_end(digest(1), ServerRun(8), Evidence::Running, at(900));
-    assert_eq!(more, Turn::None);
+    let more = table.on_crash(digest(1), ServerRun(8), Evidence::Running, at(900));
+    assert_eq!(more, QuarantineChange::None);
     let review_in_ms = Term::FIRST.span_ms();
     assert_eq!(
-        table.standing(&digest(1), at(800)),
-        Standing::Quarantined { review_in_ms }
+        table.status(&digest(1), at(800)),
+        QuarantineStatus::Quarantined { review_in_ms }
     );
 }
 
@@ -265,12 +265,12 @@
     let mut table = in_quarantine();
     for number in 2..20_000 {
         let ms = u64::from(number);
-        table.on_end(digest(number), ServerRun(number), Evidence::Running, at(ms));
+        table.on_crash(digest(number), ServerRun(number), Evidence::Running, at(ms));
     }
     assert!(table.suspects() <= 512);
     assert!(!is_free(&table, 1, 20_000));
     for number in 2..2_000 {
-        let told = Told::Quarantined {
+        let told = QuarantineNotice::Quarantined {
             digest: digest(number),
             age_ms: 0,
             term: Term::FIRST,
@@ -285,14 +285,14 @@
 #[test]
 fn what_nobody_asks_for_is_forgotten() {
     let mut table = in_quarantine();
-    table.on_end(digest(2), ServerRun(1), Evidence::Running, at(0));
+    table.on_crash(digest(2), ServerRun(1), Evidence::Running, at(0));
     assert_eq!(table.expire(at(700_000)), []);
     assert_eq!(table.suspects(), 0);
     let day_ms = 86_400_000;
     let review = 800 + Term::FIRST.span_ms().0;
     assert_eq!(table.expire(at(review + day_ms - 1)), []);
     assert_eq!(table.expire(at(review + day_ms)), [digest(1)]);
-    assert!(!table.may_know(&1_u32.to_be_bytes()));
+    assert!(!table.may_contain(&1_u32.to_be_bytes()));
 }
 
 /// What this node saw itself is told again for three seconds, so that a lost datagram costs nothing;
@@ -300,15 +300,15 @@
 #[test]
 fn what_was_seen_is_told_again_for_a_while() {
     let mut table = Quarantine::default();
-    table.on_end(digest(1), ServerRun(1), Evidence::Running, at(0));
-    let told = Quarantine::end_notice(digest(2), ServerRun(1), Evidence::Running, (at(0), at(0)));
+    table.on_crash(digest(1), ServerRun(1), Evidence::Running, at(0));
+    let told = Quarantine::crash_notice(digest(2), ServerRun(1), Evidence::Running, (at(0), at(0)));
     table.on_notified(told, at(0));
     assert_eq!(table.repeated_notices(at(2_999)).len(), 1);
     assert_eq!(table.repeated_notices(at(3_000)), []);
     table.clear(digest(1), at(3_500));
     assert_eq!(
         table.repeated_notices(at(4_000)),
-        [Told::Cleared {
+        [QuarantineNotice::Cleared {
             digest: digest(1),
             age_ms: 500
         }]
@@ -320,23 +320,23 @@
 #[test]
 fn what_is_served_all_the_time_is_told_once() {
     let mut table = Quarantine::default();
-    table.on_end(digest(1), ServerRun(1), Evidence::Running, at(0));
+    table.on_crash(digest(1), ServerRun(1), Evidence::Running, at(0));
     let first = table.clear(digest(1), at(100));
-    assert_eq!(first, Turn::Cleared { quarantined: false });
+    assert_eq!(first, QuarantineChange::Cleared { quarantined: false });
     for ms in 200..10_000 {
-        assert_eq!(table.clear(digest(1), at(ms)), Turn::None);
+        assert_eq!(table.clear(digest(1), at(ms)), QuarantineChange::None);
     }
     assert_eq!(table.repeated_notices(at(10_000)), []);
     table.expire(at(700_000));
-    assert!(!table.may_know(&1_u32.to_be_bytes()));
+    assert!(!table.may_contain(&1_u32.to_be_bytes()));
 }
 
 /// One piece of gossip about requests 1 to 3, told when it was `age_ms` old.
-fn any_told() -> impl Strategy<Value = Told> {
+fn any_told() -> impl Strategy<Value = QuarantineNotice> {
     let number = 1_u32..4;
     let evidence = prop_oneof![Just(Evidence::Present), Just(Evidence::Running)];
     let ended = (number.clone(), 0_u32..6, evidence, 0_u32..5_000);
-    let ended = ended.prop_map(|(number, run, evidence, age_ms)| Told::Ended {
+    let ended = ended.prop_map(|(number, run, evidence, age_ms)| QuarantineNotice::Ended {
         digest: digest(number),
         run: ServerRun(run),
         evidence,
@@ -344,7 +344,7 @@
         age_ms: age_ms / 1_000 * 1_000 + run * 100 + number,
     });
     let cleared = (number, 0_u32..5_000);
-    let cleared = cleared.prop_map(|(number, age_ms)| Told::Cleared {
+    let cleared = cleared.prop_map(|(number, age_ms)| QuarantineNotice::Cleared {
         digest: digest(number),
         age_ms,
     });
@@ -352,15 +352,15 @@
 }
 
 /// The gossip, with one moment for each run.
-fn consistent(told: Vec<Told>) -> Vec<Told> {
-    let mut first: Vec<Told> = Vec::new();
+fn consistent(told: Vec<QuarantineNotice>) -> Vec<QuarantineNotice> {
+    let mut first: Vec<QuarantineNotice> = Vec::new();
     for told in told {
         let known = first.iter().find(|known| match (known, &told) {
             (
-                Told::Ended {
+                QuarantineNotice::Ended {
                     digest: a, run: b, ..
                 },
-                Told::Ended {
+                QuarantineNotice::Ended {
                     digest: c, run: d, ..
                 },
             ) => (a, b) == (c, d),
@@ -378,11 +378,11 @@
 #[test]
 fn a_success_between_its_ends_frees_a_request() {
     let mut table = in_quarantine();
-    let told = Told::Cleared {
+    let told = QuarantineNotice::Cleared {
         digest: digest(1),
         age_ms: 600,
     };
-    let freed = Turn::Cleared { quarantined: true };
+    let freed = QuarantineChange::Cleared { quarantined: true };
     assert_eq!(table.on_notified(told, at(1_000)).1, freed);
     assert!(is_free(&table, 1, 1_000));
 }
--- a/crates/requests/src/life/fatal.rs
+++ b/crates/requests/src/life/fatal.rs
@@ -29,7 +29,7 @@
         };
         let lost = run_of(run.upstream, cx.now_ms);
         cx.quarantine
-            .on_end(digest, lost, Evidence::Running, cx.now_ms);
+            .on_crash(digest, lost, Evidence::Running, cx.now_ms);
     }
 
     /// The request was answered whole.
@@ -53,7 +53,7 @@
 ) -> Option<Error> {
     quarantine.expire(now_ms);
     quarantine.judge(now_ms);
-    let Standing::Quarantined { review_in_ms } = quarantine.standing(digest, now_ms) else {
+    let QuarantineStatus::Quarantined { review_in_ms } = quarantine.status(digest, now_ms) else {
         return None;
     };
     if quarantine.begin_trial(digest, now_ms) {
