--- a/crates/front/src/call/admit.rs
+++ b/crates/front/src/call/admit.rs
@@ -3,7 +3,7 @@
 use super::Call;
 use super::answers::{self, Answer};
 use crate::node::Node;
-use crate::outside::CallHead;
+use crate::platform::CallHead;
 use bluebell_base::prelude::*;
 use bluebell_fleet::prelude::*;
 use bytes::Bytes as Buffer;
@@ -100,7 +100,7 @@
 pub async fn admit(node: Rc<Node>, request: Request<Incoming>) -> Result<Call, Answer> {
     let arrived_ms = node.now_ms();
     let (parts, body) = request.into_parts();
-    let head = match node.outside.dialect.call_head(&parts.headers) {
+    let head = match node.platform.dialect.call_head(&parts.headers) {
         Ok(head) => head,
         Err(error) => {
             let status = StatusCode::BAD_REQUEST;
--- a/crates/front/src/call/answers.rs
+++ b/crates/front/src/call/answers.rs
@@ -5,7 +5,7 @@
 use super::body::FrontBody;
 use crate::journal::Event;
 use crate::node::Node;
-use crate::outside::CallHead;
+use crate::platform::CallHead;
 use bluebell_base::prelude::*;
 use bytes::Bytes as Buffer;
 use hyper::header::{CONNECTION, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
@@ -18,7 +18,7 @@
     let text = serde_json::json!({ "verdict": verdict, "error": why }).to_string();
     let mut answer = Response::new(FrontBody::Whole(Some(Buffer::from(text))));
     *answer.status_mut() = status;
-    *answer.headers_mut() = node.outside.dialect.own_headers(request);
+    *answer.headers_mut() = node.platform.dialect.node_answer_headers(request);
     let json = HeaderValue::from_static("application/json");
     answer.headers_mut().insert(CONTENT_TYPE, json);
     answer
--- a/crates/front/src/call/choose.rs
+++ b/crates/front/src/call/choose.rs
@@ -5,7 +5,7 @@
 use super::held::Held;
 use super::reserve::Reserved;
 use crate::limits;
-use crate::outside::Helper;
+use crate::platform::Helper;
 use bluebell_base::prelude::*;
 use bluebell_fleet::placement::{Fleet, PlainCandidate, needs_helper_memory};
 use bluebell_fleet::prelude::*;
--- a/crates/front/src/call/mod.rs
+++ b/crates/front/src/call/mod.rs
@@ -24,7 +24,7 @@
 pub use events::EventSplitter;
 
 use crate::node::Node;
-use crate::outside::CallHead;
+use crate::platform::CallHead;
 use bluebell_base::prelude::*;
 use bluebell_fleet::prelude::*;
 use bluebell_quarantine::prelude::*;
--- a/crates/front/src/call/plain.rs
+++ b/crates/front/src/call/plain.rs
@@ -130,7 +130,7 @@
     });
     let mut answer = Response::new(FrontBody::Whole(Some(body)));
     *answer.status_mut() = reply.status();
-    *answer.headers_mut() = call.node.outside.dialect.answer_headers(reply.headers());
+    *answer.headers_mut() = call.node.platform.dialect.answer_headers(reply.headers());
     answer
 }
 
--- a/crates/front/src/call/reserve.rs
+++ b/crates/front/src/call/reserve.rs
@@ -10,7 +10,7 @@
 use crate::http::Freshness;
 use crate::journal::Event;
 use crate::node::Node;
-use crate::outside::{MemoryAnswer, MemoryOrder};
+use crate::platform::{MemoryAnswer, MemoryOrder};
 use crate::watch;
 use crate::{limits, signals};
 use bluebell_base::prelude::*;
@@ -196,14 +196,14 @@
     order: &MemoryOrder,
 ) -> Option<MemoryAnswer> {
     let mut link = node.pool.lease(address, Freshness::Recent).await.ok()?;
-    let request = node.outside.dialect.memory_order(address, order);
+    let request = node.platform.dialect.memory_order(address, order);
     limits::on_sent_to_address(node, address);
     let sent_ms = node.now_ms();
     let answer = link.send(request).await.ok()?;
     let status = answer.status().as_u16();
-    let said = node.outside.dialect.signals(status, answer.headers());
+    let said = node.platform.dialect.signals(status, answer.headers());
     signals::on_answer_at(node, address, &said, Source::Order, sent_ms);
     answer.into_body().collect().await.ok()?;
     node.pool.give_back(link, None);
-    Some(node.outside.dialect.memory_answer(status))
+    Some(node.platform.dialect.memory_answer(status))
 }
--- a/crates/front/src/call/stream.rs
+++ b/crates/front/src/call/stream.rs
@@ -184,7 +184,7 @@
         note_symptom(call, chosen.key, Symptom::Good, "");
         let headers = call
             .node
-            .outside
+            .platform
             .dialect
             .answer_headers(self.reply.headers());
         let pieces = Pump::spawn(call.clone(), chosen, tries, self.source, self.first);
--- a/crates/front/src/call/tries.rs
+++ b/crates/front/src/call/tries.rs
@@ -3,9 +3,9 @@
 use super::Call;
 use super::choose::Chosen;
 use super::fatal::{self, Break};
-use crate::http::{Exchange, Freshness, Link, SendError};
+use crate::http::{Freshness, IncomingAnswer, Link, SendError};
 use crate::journal::Event;
-use crate::outside::{AnswerHead, Sending};
+use crate::platform::{AnswerHead, ForwardHead};
 use crate::signals;
 use bluebell_base::prelude::*;
 use bluebell_fleet::prelude::*;
@@ -102,7 +102,7 @@
 
 /// A replica's answer that is to be passed on.
 pub(super) struct Reply {
-    pub answer: Exchange,
+    pub answer: IncomingAnswer,
     pub head: AnswerHead,
     pub link: Link,
 }
@@ -190,7 +190,7 @@
 }
 
 fn request(call: &Call, chosen: &Chosen, last_event: Option<&str>) -> Request<Full<Buffer>> {
-    let send = Sending {
+    let send = ForwardHead {
         deadline_ms: call.left_ms(),
         instance: &chosen.replica.instance,
         account: call.account.as_ref().map(|account| &account.name),
@@ -202,7 +202,11 @@
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
     *request.version_mut() = Version::HTTP_11;
-    *request.headers_mut() = call.node.outside.dialect.send_headers(&call.headers, &send);
+    *request.headers_mut() = call
+        .node
+        .platform
+        .dialect
+        .forward_headers(&call.headers, &send);
     request
 }
 
@@ -211,15 +215,15 @@
 fn judge(
     call: &Call,
     key: ReplicaKey,
-    answer: Exchange,
+    answer: IncomingAnswer,
     link: Link,
     sent_ms: MonoMs,
 ) -> Result<Reply, TryError> {
     let took_ms = call.node.now_ms().since(sent_ms);
     let status = answer.status();
-    let dialect = &call.node.outside.dialect;
+    let dialect = &call.node.platform.dialect;
     let head = dialect.answer_head(&call.head.request, status.as_u16(), answer.headers());
-    if head.names_other {
+    if head.names_other_request {
         // First of all: the refusal of an earlier request would else be taken for this one's, which
         // may be running.
         let why = "the answer belongs to another request";
@@ -232,11 +236,11 @@
     note_signals(call, key, &head, sent_ms);
     if head.not_run {
         return Err(TryError {
-            fault: head.fault_at.map(|at| Fault::of_refusal(at, took_ms)),
+            fault: head.faulty_replica.map(|at| Fault::of_refusal(at, took_ms)),
             ..TryError::new("the replica is full", Verdict::NotRun, Symptom::Full)
         });
     }
-    if !head.answers {
+    if !head.names_this_request {
         let why = "the answer names no request";
         return Err(TryError::new(why, Verdict::MayHaveRun, Symptom::Mismatched));
     }
@@ -258,10 +262,10 @@
 /// Takes down what the answer to what was sent at `sent_ms` says of its replica. Only an answer that is
 /// surely the replica's own says by its silence that a limit has ended.
 fn note_signals(call: &Call, key: ReplicaKey, head: &AnswerHead, sent_ms: MonoMs) {
-    let own = head.answers && (head.signed || head.not_run);
+    let own = head.names_this_request && (head.signed || head.not_run);
     if own || head.signals.limit != LimitSignal::Absent {
         signals::on_answer(&call.node, key, &head.signals, Source::Answer, sent_ms);
-    } else if head.answers || head.not_run {
+    } else if head.names_this_request || head.not_run {
         signals::note(&call.node, key, &head.signals);
     }
 }
@@ -320,10 +324,11 @@
 }
 
 /// The replica that another names by its instance or its address.
-fn helper_at(call: &Call, fault_at: &str) -> Option<ReplicaKey> {
+fn helper_at(call: &Call, faulty_replica: &str) -> Option<ReplicaKey> {
     call.node.with(|state| {
         let ready = state.replicas.ready(&call.service.name);
-        let named = |r: &Replica| &*r.instance == fault_at || r.address.to_string() == fault_at;
+        let named =
+            |r: &Replica| &*r.instance == faulty_replica || r.address.to_string() == faulty_replica;
         let found = ready.iter().find(|(_, replica, _)| named(replica));
         found.map(|(key, _, _)| *key)
     })
--- a/crates/front/src/copies/fetch.rs
+++ b/crates/front/src/copies/fetch.rs
@@ -4,7 +4,7 @@
 use super::{HOLD_MS, TEXT_BYTES};
 use crate::http::{Freshness, SendError};
 use crate::node::Node;
-use crate::outside::DirectoryError;
+use crate::platform::DirectoryError;
 use bluebell_base::prelude::*;
 use bluebell_fleet::prelude::*;
 use bytes::{Bytes as Buffer, BytesMut};
@@ -60,7 +60,7 @@
     let packed = read(answer.into_body()).await?;
     let text = miniz_oxide::inflate::decompress_to_vec_zlib_with_limit(&packed, TEXT_BYTES);
     let text = text.map_err(|error| CopyError::Packed(error.to_string().into()))?;
-    let config = node.outside.dialect.config(&text)?;
+    let config = node.platform.dialect.config(&text)?;
     Ok((config, ConfigCopy(packed)))
 }
 
--- a/crates/front/src/gossip/message.rs
+++ b/crates/front/src/gossip/message.rs
@@ -2,7 +2,7 @@
 
 use super::DATAGRAM_BYTES;
 use super::replicas::ReplicasGossip;
-use crate::outside::Era;
+use crate::platform::Era;
 use bluebell_base::prelude::*;
 use bluebell_fleet::prelude::*;
 use bluebell_quarantine::prelude::*;
--- a/crates/front/src/gossip/outbox.rs
+++ b/crates/front/src/gossip/outbox.rs
@@ -2,7 +2,7 @@
 
 use super::message::{Gossip, Origin};
 use super::{PEER_FORGOTTEN_MS, PEER_SILENT_MS};
-use crate::outside::Era;
+use crate::platform::Era;
 use crate::watch::ReplicasNotice;
 use bluebell_base::prelude::*;
 use bluebell_fleet::fanout::{self, GossipKind, GossipPeer, Presence, Route};
--- a/crates/front/src/gossip/replicas.rs
+++ b/crates/front/src/gossip/replicas.rs
@@ -1,6 +1,6 @@
 //! What a datagram tells of the replicas that the directory lists.
 
-use crate::outside::Cursor;
+use crate::platform::Cursor;
 use crate::watch::ReplicasNotice;
 use bluebell_base::prelude::*;
 use bluebell_fleet::prelude::*;
--- a/crates/front/src/http/link.rs
+++ b/crates/front/src/http/link.rs
@@ -45,7 +45,7 @@
 }
 
 /// The head of an answer, with the body still to come.
-pub type Exchange = Response<Incoming>;
+pub type IncomingAnswer = Response<Incoming>;
 
 impl Link {
     /// Opens a connection within `timeout_ms`.
@@ -85,7 +85,10 @@
     }
 
     /// Sends a request and waits for the answer's head.
-    pub async fn send(&mut self, request: Request<Full<Buffer>>) -> Result<Exchange, SendError> {
+    pub async fn send(
+        &mut self,
+        request: Request<Full<Buffer>>,
+    ) -> Result<IncomingAnswer, SendError> {
         let Some(sender) = self.sender.as_mut() else {
             return Err(SendError::Unsent);
         };
--- a/crates/front/src/http/mod.rs
+++ b/crates/front/src/http/mod.rs
@@ -9,5 +9,5 @@
 mod link;
 mod pool;
 
-pub use link::{Exchange, Link, SendError};
+pub use link::{IncomingAnswer, Link, SendError};
 pub use pool::{Freshness, Pool};
--- a/crates/front/src/journal/event.rs
+++ b/crates/front/src/journal/event.rs
@@ -1,6 +1,6 @@
 //! The events that the log of decisions knows.
 
-use crate::outside::Era;
+use crate::platform::Era;
 use bluebell_base::prelude::*;
 use bluebell_fleet::prelude::*;
 use bluebell_quarantine::prelude::*;
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! Terms:
 //! - *outside* is the platform that the node runs on, reached through the trait objects of
-//!   [`outside`], whose implementation alone knows the platform's names;
+//!   [`platform`], whose implementation alone knows the platform's names;
 //! - a *try* is one send of a request to one replica (with its helpers);
 //! - *gossip* is what a node tells its peers of the work that it has placed.
 //!
@@ -20,7 +20,7 @@
 pub mod limits;
 pub mod metrics;
 pub mod node;
-pub mod outside;
+pub mod platform;
 pub mod quarantine;
 pub mod signals;
 pub mod watch;
@@ -29,9 +29,9 @@
 pub mod prelude {
     pub use crate::journal::{Event, Journal};
     pub use crate::node::{FrontError, FrontHandle, FrontSettings, Stopper};
-    pub use crate::outside::{
+    pub use crate::platform::{
         AnswerHead, CallHead, CallHeadError, ConfigUpdate, Cursor, Dialect, Directory,
-        DirectoryError, EngineReport, Era, Helper, MemoryAnswer, MemoryOrder, NodeEntry, Outside,
-        PendingRead, ReplicaSignals, ReplicaUpdate, Sending,
+        DirectoryError, EngineReport, Era, ForwardHead, Helper, MemoryAnswer, MemoryOrder,
+        NodeEntry, PendingRead, Platform, ReplicaSignals, ReplicaUpdate,
     };
 }
--- a/crates/front/src/node/listen.rs
+++ b/crates/front/src/node/listen.rs
@@ -166,7 +166,7 @@
 
 /// What the balancer asks: whether the node wants new connections.
 pub fn ready_page(node: &Rc<Node>, _: &Method, path: &str) -> (StatusCode, String) {
-    let status = match (path == node.outside.dialect.ready_path(), node.is_ready()) {
+    let status = match (path == node.platform.dialect.ready_path(), node.is_ready()) {
         (true, true) => StatusCode::OK,
         (true, false) => StatusCode::SERVICE_UNAVAILABLE,
         (false, _) => StatusCode::NOT_FOUND,
--- a/crates/front/src/node/run.rs
+++ b/crates/front/src/node/run.rs
@@ -3,7 +3,7 @@
 use super::{Node, listen};
 use crate::journal::{Event, Journal, JournalWriter};
 use crate::metrics::{Metrics, MetricsError};
-use crate::outside::Outside;
+use crate::platform::Platform;
 use crate::{copies, gossip, limits, quarantine, watch};
 use bluebell_base::prelude::*;
 use bluebell_fleet::prelude::*;
@@ -87,13 +87,16 @@
 
 impl FrontHandle {
     /// Binds the addresses and starts the tasks, on the current local task set.
-    pub async fn spawn(mut settings: FrontSettings, outside: Outside) -> Result<Self, FrontError> {
+    pub async fn spawn(
+        mut settings: FrontSettings,
+        platform: Platform,
+    ) -> Result<Self, FrontError> {
         let callers = bind_tcp(&mut settings.callers)?;
         let ready = bind_tcp(&mut settings.ready)?;
         let metrics = bind_tcp(&mut settings.metrics)?;
         let (gossip, copies) = bind_for_peers(&mut settings.gossip).await?;
         let (journal, writer) = Journal::open(settings.name.clone(), Metrics::open()?);
-        let node = Node::open(settings, outside, journal);
+        let node = Node::open(settings, platform, journal);
         node.journal.record(&Event::Started {
             callers: node.settings.callers,
             incarnation: node.owner.0,
--- a/crates/front/src/node/state.rs
+++ b/crates/front/src/node/state.rs
@@ -6,7 +6,7 @@
 use crate::gossip::Outbox;
 use crate::http::Pool;
 use crate::journal::Journal;
-use crate::outside::Outside;
+use crate::platform::Platform;
 use crate::watch::Watching;
 use bluebell_base::prelude::*;
 use bluebell_fleet::prelude::*;
@@ -48,7 +48,7 @@
     /// Its clock.
     pub clock: Clock,
     /// The platform.
-    pub outside: Outside,
+    pub platform: Platform,
     /// Kept connections to replicas.
     pub pool: Rc<Pool>,
     /// Its looks at replicas whose connections broke.
@@ -69,7 +69,7 @@
 
 impl Node {
     /// A node that knows nothing yet.
-    pub fn open(settings: FrontSettings, outside: Outside, journal: Journal) -> Rc<Self> {
+    pub fn open(settings: FrontSettings, platform: Platform, journal: Journal) -> Rc<Self> {
         let clock = Clock::open();
         let state = State {
             config: None,
@@ -85,7 +85,7 @@
         Rc::new(Self {
             owner: OwnerId(rand::random()),
             clock,
-            outside,
+            platform,
             pool: Pool::open(clock),
             ends: EndChecks::default(),
             outbox: Outbox::default(),
--- a/crates/front/src/outside/mod.rs
+++ b/crates/front/src/platform/mod.rs
@@ -99,7 +99,7 @@
     /// Changes in the order in which they happened.
     pub changes: Vec<ReplicaChange>,
     /// Whether `changes` lists everything that there is, so that what it misses is gone.
-    pub whole: bool,
+    pub is_snapshot: bool,
 }
 
 /// A node, as nodes announce themselves.
@@ -230,7 +230,7 @@
 
 /// What the node adds to a head that it sends on.
 #[derive(Clone, Debug)]
-pub struct Sending<'a> {
+pub struct ForwardHead<'a> {
     /// The time left.
     pub deadline_ms: SpanMs,
     /// The run of the replica that is meant.
@@ -249,9 +249,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct AnswerHead {
     /// Whether it answers this request by name.
-    pub answers: bool,
+    pub names_this_request: bool,
     /// Whether it names another request, so that nothing in it is about this one.
-    pub names_other: bool,
+    pub names_other_request: bool,
     /// Whether it carries the replica's signature.
     pub signed: bool,
     /// Whether the replica states that it didn't run the request.
@@ -263,7 +263,7 @@
     /// How long the replica keeps the connection, where it says so.
     pub keep_alive_ms: Option<SpanMs>,
     /// The replica at fault, by instance or address, where it isn't the one that answers.
-    pub fault_at: Option<Arc<str>>,
+    pub faulty_replica: Option<Arc<str>>,
     /// What it says of the replica.
     pub signals: ReplicaSignals,
 }
@@ -284,7 +284,7 @@
     /// Reads a caller's head.
     fn call_head(&self, headers: &HeaderMap) -> Result<CallHead, CallHeadError>;
     /// The head to send to a replica.
-    fn send_headers(&self, headers: &HeaderMap, send: &Sending<'_>) -> HeaderMap;
+    fn forward_headers(&self, headers: &HeaderMap, send: &ForwardHead<'_>) -> HeaderMap;
     /// Reads a replica's head, the answer to `request`.
     fn answer_head(&self, request: &str, status: u16, headers: &HeaderMap) -> AnswerHead;
     /// What any answer of a replica says of it.
@@ -292,7 +292,7 @@
     /// The headers of a replica's answer that the caller gets.
     fn answer_headers(&self, headers: &HeaderMap) -> HeaderMap;
     /// The headers of an answer of the node's own to `request`.
-    fn own_headers(&self, request: &str) -> HeaderMap;
+    fn node_answer_headers(&self, request: &str) -> HeaderMap;
     /// Reads the operators' text of a configuration.
     fn config(&self, text: &[u8]) -> Result<ServingConfig, DirectoryError>;
     /// An order to an engine about memory.
@@ -309,7 +309,7 @@
 
 /// The platform.
 #[derive(Clone)]
-pub struct Outside {
+pub struct Platform {
     /// Its directory.
     pub directory: Rc<dyn Directory>,
     /// Its words.
--- a/crates/front/src/signals/mod.rs
+++ b/crates/front/src/signals/mod.rs
@@ -5,7 +5,7 @@
 use crate::journal::Event;
 use crate::limits;
 use crate::node::Node;
-use crate::outside::ReplicaSignals;
+use crate::platform::ReplicaSignals;
 use bluebell_base::prelude::*;
 use bluebell_fleet::prelude::*;
 use std::net::SocketAddr;
--- a/crates/front/src/watch/config.rs
+++ b/crates/front/src/watch/config.rs
@@ -14,7 +14,7 @@
 use crate::copies::ConfigCopy;
 use crate::journal::Event;
 use crate::node::Node;
-use crate::outside::{ConfigUpdate, Cursor, DirectoryError};
+use crate::platform::{ConfigUpdate, Cursor, DirectoryError};
 use bluebell_base::prelude::*;
 use bluebell_fleet::long_poll;
 use bluebell_fleet::prelude::*;
@@ -103,7 +103,7 @@
             Some(cursor) => next_read(&node, cursor).await,
             None if node.config_version().is_none() => first_read(&node).await,
             None => {
-                let directory = &node.outside.directory;
+                let directory = &node.platform.directory;
                 directory.read_config(None, SpanMs::ZERO).await
             }
         };
@@ -154,7 +154,7 @@
 /// was lost never comes. Given up after a second or two, it kept nodes from serving for up to 0.9 s
 /// after the directory was back.
 async fn first_read(node: &Node) -> Result<ConfigUpdate, DirectoryError> {
-    let directory = &node.outside.directory;
+    let directory = &node.platform.directory;
     let mut reads = FuturesUnordered::new();
     loop {
         reads.push(directory.read_config(None, SpanMs::ZERO));
@@ -179,7 +179,7 @@
 
 /// Waits for a newer configuration.
 async fn next_read(node: &Node, cursor: Cursor) -> Result<ConfigUpdate, DirectoryError> {
-    let directory = &node.outside.directory;
+    let directory = &node.platform.directory;
     let other_readers = follow::readers(node) - 1;
     let wait_ms = long_poll::long_poll_timeout(other_readers, rand::random());
     tokio::select! {
--- a/crates/front/src/watch/era.rs
+++ b/crates/front/src/watch/era.rs
@@ -10,7 +10,7 @@
 
 use crate::journal::Event;
 use crate::node::Node;
-use crate::outside::Era;
+use crate::platform::Era;
 use bluebell_base::prelude::*;
 use std::time::Duration;
 use tokio::sync::watch;
--- a/crates/front/src/watch/nodes.rs
+++ b/crates/front/src/watch/nodes.rs
@@ -3,7 +3,7 @@
 use super::era::Renewals;
 use super::retry::Backoff;
 use crate::node::Node;
-use crate::outside::NodeEntry;
+use crate::platform::NodeEntry;
 use bluebell_base::prelude::*;
 use bluebell_fleet::prelude::*;
 use rand::Rng;
@@ -30,7 +30,7 @@
     let mut renewals = Renewals::of(&node);
     announce(&node, &own, &mut backoff).await;
     loop {
-        match node.outside.directory.read_nodes().await {
+        match node.platform.directory.read_nodes().await {
             Ok(nodes) => {
                 backoff.succeeded(&node);
                 let now_ms = node.now_ms();
@@ -56,7 +56,7 @@
 }
 
 async fn announce(node: &Node, own: &NodeEntry, backoff: &mut Backoff) {
-    while let Err(error) = node.outside.directory.announce(own.clone()).await {
+    while let Err(error) = node.platform.directory.announce(own.clone()).await {
         backoff.failed(node, &error).await;
     }
     backoff.succeeded(node);
--- a/crates/front/src/watch/paces.rs
+++ b/crates/front/src/watch/paces.rs
@@ -3,7 +3,7 @@
 use crate::http::Freshness;
 use crate::journal::Event;
 use crate::node::Node;
-use crate::outside::EngineReport;
+use crate::platform::EngineReport;
 use crate::{limits, signals};
 use bluebell_base::prelude::*;
 use bluebell_fleet::pace::{PROBE_INTERVAL_MS, is_prober};
@@ -85,13 +85,13 @@
 
 async fn read(node: &Rc<Node>, address: SocketAddr) -> Option<EngineReport> {
     let mut link = node.pool.lease(address, Freshness::Kept).await.ok()?;
-    let request = node.outside.dialect.report_request(address);
+    let request = node.platform.dialect.report_request(address);
     limits::on_sent_to_address(node, address);
     let sent_ms = node.now_ms();
     let answer = link.send(request).await.ok()?;
     let status = answer.status();
     let said = node
-        .outside
+        .platform
         .dialect
         .signals(status.as_u16(), answer.headers());
     // What refuses a probe says nothing by not naming a limit: another replica may have the address.
@@ -101,5 +101,5 @@
     let body = Limited::new(answer.into_body(), REPORT_BYTES);
     let body = body.collect().await.ok()?.to_bytes();
     node.pool.give_back(link, Some(KEPT_MS));
-    node.outside.dialect.report(&body)
+    node.platform.dialect.report(&body)
 }
--- a/crates/front/src/watch/pieces.rs
+++ b/crates/front/src/watch/pieces.rs
@@ -11,7 +11,7 @@
 
 use super::shared::ReplicasNotice;
 use crate::node::Node;
-use crate::outside::{Cursor, Era};
+use crate::platform::{Cursor, Era};
 use bluebell_fleet::prelude::*;
 
 /// The most changes of one piece: they fit a datagram.
--- a/crates/front/src/watch/quarantine.rs
+++ b/crates/front/src/watch/quarantine.rs
@@ -19,7 +19,7 @@
 pub async fn watch_quarantine(node: Rc<Node>) {
     let mut backoff = Backoff::new("quarantine");
     loop {
-        match node.outside.directory.read_quarantine().await {
+        match node.platform.directory.read_quarantine().await {
             Ok(stored) => {
                 backoff.succeeded(&node);
                 for (digest, term) in stored {
@@ -63,7 +63,7 @@
         let mut backoff = Backoff::new("quarantine");
         loop {
             let term = node.with(|state| state.quarantine.term(&digest));
-            let written = node.outside.directory.write_quarantine(digest, term).await;
+            let written = node.platform.directory.write_quarantine(digest, term).await;
             match written {
                 Ok(()) => return backoff.succeeded(&node),
                 Err(error) => backoff.failed(&node, &error).await,
--- a/crates/front/src/watch/replicas.rs
+++ b/crates/front/src/watch/replicas.rs
@@ -6,7 +6,7 @@
 use super::shared::ReplicasNotice;
 use crate::journal::Event;
 use crate::node::Node;
-use crate::outside::ReplicaUpdate;
+use crate::platform::ReplicaUpdate;
 use bluebell_base::prelude::*;
 use bluebell_fleet::prelude::*;
 use bluebell_fleet::replicas::TableEvent;
@@ -39,10 +39,10 @@
     loop {
         let cursor = node.watching.cursor();
         let read = tokio::select! {
-            read = node.outside.directory.read_replicas(cursor) => read,
+            read = node.platform.directory.read_replicas(cursor) => read,
             // What was asked for while the directory was away is never answered.
             () = node.watching.directory_back.notified() => {
-                node.outside.directory.read_replicas(cursor).await
+                node.platform.directory.read_replicas(cursor).await
             }
         };
         match read {
@@ -98,7 +98,7 @@
     let now_ms = node.now_ms();
     let mut pieces = Pieces::open(node, update.cursor.era);
     node.with(|state| state.replicas.on_directory_read(now_ms));
-    if update.whole {
+    if update.is_snapshot {
         let listed: Vec<Arc<str>> = update.changes.iter().filter_map(listed).collect();
         match renewed {
             false => node.with(|state| state.replicas.retain_listed(&listed, now_ms)),
@@ -126,7 +126,7 @@
     });
     // What is missing after an outage may come back: each node judges that by what it saw of it. After a
     // renewal all have seen the same.
-    match (update.whole || awaits_relisting) && !awaits_rewrites {
+    match (update.is_snapshot || awaits_relisting) && !awaits_rewrites {
         true => pieces.unannounced(node, update.cursor),
         false => pieces.close(node, update.cursor),
     }
--- a/crates/front/src/watch/retry.rs
+++ b/crates/front/src/watch/retry.rs
@@ -2,7 +2,7 @@
 
 use crate::journal::Event;
 use crate::node::Node;
-use crate::outside::DirectoryError;
+use crate::platform::DirectoryError;
 use bluebell_base::prelude::*;
 use rand::Rng;
 use std::time::Duration;
--- a/crates/front/src/watch/shared.rs
+++ b/crates/front/src/watch/shared.rs
@@ -16,7 +16,7 @@
 use super::replicas::take_changes;
 use crate::journal::Event;
 use crate::node::Node;
-use crate::outside::Cursor;
+use crate::platform::Cursor;
 use bluebell_base::prelude::*;
 use bluebell_fleet::prelude::*;
 use std::cell::{Cell, RefCell};
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -66,8 +66,8 @@
         Err(error) => return start_fault(&error),
     };
     let served = LocalSet::new().block_on(&runtime, async {
-        let outside = bluebell_adapter::open(settings.store, &settings.front.name);
-        FrontHandle::spawn(settings.front, outside)
+        let platform = bluebell_adapter::open(settings.store, &settings.front.name);
+        FrontHandle::spawn(settings.front, platform)
             .await?
             .run()
             .await
