--- a/crates/front/src/call/fatal.rs
+++ b/crates/front/src/call/fatal.rs
@@ -4,7 +4,7 @@
 use super::Call;
 use super::choose::Chosen;
 use super::tries::TryError;
-use crate::ends::{EndState, EndWatch};
+use crate::crash_checks::{CrashState, CrashWatch};
 use crate::node::Node;
 use crate::quarantine::{self, ObservedCrash};
 use bluebell_base::prelude::*;
@@ -76,23 +76,23 @@
         quarantine::on_crash(&node, end);
         return;
     }
-    let found = node.ends.ask(&node, &chosen.replica);
+    let found = node.crash_checks.ask(&node, &chosen.replica);
     let mut asked = found.clone();
     // What the directory has to tell comes later, and the caller may leave before.
     spawn_local(note_end(node.clone(), end.clone(), found));
-    let asked = asked.wait_for(EndState::is_asked);
+    let asked = asked.wait_for(CrashState::is_asked);
     let asked = tokio::time::timeout(Duration::from(WAIT_MS), asked).await;
-    if matches!(asked, Ok(Ok(state)) if *state == EndState::Ended) {
+    if matches!(asked, Ok(Ok(state)) if *state == CrashState::Ended) {
         // Noted twice it counts once, and has to be before the request goes on.
         quarantine::on_crash(&node, end);
     }
 }
 
 /// Notes an end once it is known for one.
-async fn note_end(node: Rc<Node>, end: ObservedCrash, mut found: EndWatch) {
+async fn note_end(node: Rc<Node>, end: ObservedCrash, mut found: CrashWatch) {
     // The check outlives whoever asks, so it is never gone without an answer.
-    let found = found.wait_for(EndState::is_final).await;
-    let ended = matches!(found, Ok(state) if *state == EndState::Ended);
+    let found = found.wait_for(CrashState::is_final).await;
+    let ended = matches!(found, Ok(state) if *state == CrashState::Ended);
     if ended {
         quarantine::on_crash(&node, end);
     }
--- a/crates/front/src/ends/mod.rs
+++ b/crates/front/src/crash_checks/mod.rs
@@ -31,7 +31,7 @@
 
 /// What is known of a replica's end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EndState {
+pub enum CrashState {
     /// Its address is being asked.
     Asking,
     /// Something listens there; the directory will tell.
@@ -42,7 +42,7 @@
     Alive,
 }
 
-impl EndState {
+impl CrashState {
     /// Whether its address has been asked.
     pub fn is_asked(&self) -> bool {
         *self != Self::Asking
@@ -55,18 +55,18 @@
 }
 
 /// Tells what is found of a replica's end.
-pub type EndWatch = watch::Receiver<EndState>;
+pub type CrashWatch = watch::Receiver<CrashState>;
 
 /// Looks at replicas whose connections broke.
 #[derive(Debug, Default)]
-pub struct EndChecks {
-    checks: RefCell<FxHashMap<ReplicaKey, (MonoMs, EndWatch)>>,
+pub struct CrashChecks {
+    checks: RefCell<FxHashMap<ReplicaKey, (MonoMs, CrashWatch)>>,
 }
 
-impl EndChecks {
+impl CrashChecks {
     /// Asks whether this run of a replica has ended. The answer comes within a few ms where its
     /// address refuses connections, and within [`DROPPED_MS`] where the directory has to tell.
-    pub fn ask(&self, node: &Rc<Node>, replica: &Arc<Replica>) -> EndWatch {
+    pub fn ask(&self, node: &Rc<Node>, replica: &Arc<Replica>) -> CrashWatch {
         let now_ms = node.now_ms();
         let mut checks = self.checks.borrow_mut();
         checks.retain(|_, (at_ms, found)| {
@@ -75,16 +75,16 @@
         if let Some((_, found)) = checks.get(&replica.key()) {
             return found.clone();
         }
-        let (tell, found) = watch::channel(EndState::Asking);
+        let (tell, found) = watch::channel(CrashState::Asking);
         checks.insert(replica.key(), (now_ms, found.clone()));
         let (node, replica) = (node.clone(), replica.clone());
         spawn_local(async move {
             if !is_ready(&node, &replica) {
-                tell.send_replace(EndState::Alive);
+                tell.send_replace(CrashState::Alive);
                 return;
             }
             tell.send_replace(ask_address(&node, &replica).await);
-            if *tell.borrow() == EndState::Undecided {
+            if *tell.borrow() == CrashState::Undecided {
                 tell.send_replace(ask_directory(&node, &replica).await);
             }
         });
@@ -100,17 +100,17 @@
     })
 }
 
-async fn ask_address(node: &Rc<Node>, replica: &Replica) -> EndState {
+async fn ask_address(node: &Rc<Node>, replica: &Replica) -> CrashState {
     match node.pool.lease(replica.address, Freshness::New).await {
-        Err(SendError::Refused(_)) => return EndState::Ended,
+        Err(SendError::Refused(_)) => return CrashState::Ended,
         Err(error) => log::debug!("{} can't be asked: {error}", replica.instance),
         Ok(link) => node.pool.give_back(link, None),
     }
-    EndState::Undecided
+    CrashState::Undecided
 }
 
 /// Waits for the directory to drop a replica that took work a moment ago.
-async fn ask_directory(node: &Node, replica: &Replica) -> EndState {
+async fn ask_directory(node: &Node, replica: &Replica) -> CrashState {
     let until_ms = node.now_ms() + DROPPED_MS;
     while node.now_ms() < until_ms {
         tokio::time::sleep(Duration::from(LOOK_MS)).await;
@@ -119,10 +119,10 @@
             known.map(|known| state.replicas.takes_work(known))
         });
         match takes_work {
-            None => return EndState::Ended,
-            Some(false) => return EndState::Alive,
+            None => return CrashState::Ended,
+            Some(false) => return CrashState::Alive,
             Some(true) => {}
         }
     }
-    EndState::Alive
+    CrashState::Alive
 }
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -13,7 +13,7 @@
 
 pub mod call;
 pub mod copies;
-pub mod ends;
+pub mod crash_checks;
 pub mod gossip;
 pub mod http;
 pub mod journal;
--- a/crates/front/src/node/state.rs
+++ b/crates/front/src/node/state.rs
@@ -2,7 +2,7 @@
 
 use super::{Clock, FrontSettings};
 use crate::copies::Copies;
-use crate::ends::EndChecks;
+use crate::crash_checks::CrashChecks;
 use crate::gossip::Outbox;
 use crate::http::Pool;
 use crate::journal::Journal;
@@ -52,7 +52,7 @@
     /// Kept connections to replicas.
     pub pool: Rc<Pool>,
     /// Its looks at replicas whose connections broke.
-    pub ends: EndChecks,
+    pub crash_checks: CrashChecks,
     /// Gossip for its peers.
     pub outbox: Outbox,
     /// The text of its configuration, for its peers.
@@ -87,7 +87,7 @@
             clock,
             platform,
             pool: Pool::open(clock),
-            ends: EndChecks::default(),
+            crash_checks: CrashChecks::default(),
             outbox: Outbox::default(),
             copies: Copies::default(),
             watching: Watching::default(),
