--- a/crates/fleet/src/stopping/mod.rs
+++ b/crates/fleet/src/stopping/mod.rs
@@ -37,7 +37,7 @@
     }
 
     /// When the balancer has noticed: idle connections may be closed.
-    pub fn noticed_ms(&self) -> MonoMs {
+    pub fn notice_end_ms(&self) -> MonoMs {
         self.began_ms + NOTICE_MS
     }
 
@@ -47,7 +47,7 @@
     }
 
     /// Whether a request that may last until `deadline_ms` is taken.
-    pub fn takes(&self, deadline_ms: MonoMs, now_ms: MonoMs) -> bool {
-        now_ms < self.noticed_ms() || deadline_ms < self.end_ms()
+    pub fn accepts(&self, deadline_ms: MonoMs, now_ms: MonoMs) -> bool {
+        now_ms < self.notice_end_ms() || deadline_ms < self.end_ms()
     }
 }
--- a/crates/fleet/tests/stopping.rs
+++ b/crates/fleet/tests/stopping.rs
@@ -10,19 +10,19 @@
 fn what_can_not_end_within_the_grace_is_not_taken() {
     let plan = StopPlan::begin(MonoMs(10_000), SpanMs(8_000));
     assert!(
-        plan.takes(MonoMs(20_100), MonoMs(10_100)),
+        plan.accepts(MonoMs(20_100), MonoMs(10_100)),
         "the balancer can't have noticed"
     );
     assert!(
-        !plan.takes(MonoMs(24_845), MonoMs(14_845)),
+        !plan.accepts(MonoMs(24_845), MonoMs(14_845)),
         "a long prompt late in the stop"
     );
     assert!(
-        plan.takes(MonoMs(15_445), MonoMs(14_845)),
+        plan.accepts(MonoMs(15_445), MonoMs(14_845)),
         "a short call still ends in time"
     );
     assert!(
-        !plan.takes(MonoMs(18_100), MonoMs(17_500)),
+        !plan.accepts(MonoMs(18_100), MonoMs(17_500)),
         "nor a short call at the very end"
     );
 }
--- a/crates/front/src/call/admit.rs
+++ b/crates/front/src/call/admit.rs
@@ -73,11 +73,11 @@
 /// turned away then, not again. The directory mostly answers within that time; where it is away, the
 /// caller still has most of its own time when it is turned away.
 async fn wait_until_informed(node: &Node, head: &CallHead) {
-    if node.is_informed() {
+    if node.is_initialized() {
         return;
     }
     // Whether it knows enough by then is seen by the lookup that follows.
-    let _ = tokio::time::timeout(uninformed_wait(head), node.informed()).await;
+    let _ = tokio::time::timeout(uninformed_wait(head), node.wait_until_initialized()).await;
 }
 
 /// How long a request waits at a node that knows too little to serve it.
@@ -90,7 +90,7 @@
 /// When a caller is asked back by a node that doesn't know enough to serve it.
 fn unknowing_retry_ms(node: &Node, head: &CallHead) -> SpanMs {
     let longest_ms = head.deadline_ms.map(|ms| ms.mul_f64(AWAY_RETRY_PART));
-    match longest_ms.filter(|_| node.watching.is_directory_away()) {
+    match longest_ms.filter(|_| node.directory_watch.is_directory_unreachable()) {
         Some(longest_ms) => longest_ms.mul_f64(rand::random_range(AWAY_LEAST_PART..1.0)),
         None => UNKNOWING_RETRY_MS,
     }
@@ -116,7 +116,7 @@
     let allowed_ms = head.deadline_ms.unwrap_or(LONGEST_MS);
     let timeout_ms = admitted.route.timeout_ms.min(allowed_ms);
     let deadline_ms = arrived_ms + timeout_ms;
-    if !node.takes(deadline_ms) {
+    if !node.accepts(deadline_ms) {
         return Err(answers::leaving(&node, &head));
     }
     let body = read_body(&node, &head, body, admitted.body_bytes, timeout_ms).await?;
@@ -145,13 +145,17 @@
 /// is put off where it doesn't come.
 async fn look_up_current(node: &Node, head: &CallHead, parts: &Parts) -> Result<Admitted, Barred> {
     let found = look_up(node, head, parts);
-    if !matches!(found, Err(Barred::Rejected(..))) || !node.watching.is_behind() {
+    if !matches!(found, Err(Barred::Rejected(..))) || !node.directory_watch.is_behind() {
         return found;
     }
     // Whether the version came is seen by the lookup that follows.
-    let _ = tokio::time::timeout(uninformed_wait(head), node.watching.caught_up()).await;
+    let _ = tokio::time::timeout(
+        uninformed_wait(head),
+        node.directory_watch.wait_until_current(),
+    )
+    .await;
     match look_up(node, head, parts) {
-        Err(Barred::Rejected(..)) if node.watching.is_behind() => {
+        Err(Barred::Rejected(..)) if node.directory_watch.is_behind() => {
             Err(Barred::Unknowing("the configuration is being replaced"))
         }
         found => found,
--- a/crates/front/src/call/held.rs
+++ b/crates/front/src/call/held.rs
@@ -28,7 +28,7 @@
 impl Held {
     /// Notes the hold of work that was placed.
     pub fn placed(node: &Rc<Node>, key: ReplicaKey, work: Work) -> Self {
-        let id = node.next_work();
+        let id = node.next_work_id();
         let shared = !work.helpers.is_empty();
         node.outbox.placed(id.sequence, &work, node.now_ms());
         let now_ms = node.now_ms();
--- a/crates/front/src/call/reserve.rs
+++ b/crates/front/src/call/reserve.rs
@@ -165,7 +165,7 @@
 /// Whether an engine answers at its address; another replica may have that by now, and answer.
 async fn is_alive(node: &Rc<Node>, engine: &Replica) -> bool {
     let moved_in = node.with(|state| state.replicas.is_address_reused(engine));
-    !moved_in && watch::answers(node, engine.address).await
+    !moved_in && watch::is_responding(node, engine.address).await
 }
 
 async fn release(node: Rc<Node>, piece: Piece) {
--- a/crates/front/src/call/tries.rs
+++ b/crates/front/src/call/tries.rs
@@ -95,7 +95,10 @@
     ran: Verdict,
     evidence: Evidence,
 ) -> TryError {
-    call.node.watching.restarted(&call.node, replica).await;
+    call.node
+        .directory_watch
+        .wait_for_restart(&call.node, replica)
+        .await;
     TryError::new("the replica has started again", ran, Symptom::Inconclusive)
         .broken(Break::of_restart(evidence))
 }
--- a/crates/front/src/copies/serve.rs
+++ b/crates/front/src/copies/serve.rs
@@ -62,7 +62,7 @@
     let has_newer = || node.config_version() > Some(held);
     let newer = async {
         loop {
-            let learned = node.watching.learned.notified();
+            let learned = node.directory_watch.learned.notified();
             if has_newer() {
                 return;
             }
--- a/crates/front/src/gossip/receive.rs
+++ b/crates/front/src/gossip/receive.rs
@@ -74,13 +74,13 @@
         Gossip::Config { version } => {
             let version = ConfigVersion(version);
             node.outbox.has_config(owner, version);
-            node.watching.on_peer_config(node, owner, version);
+            node.directory_watch.on_peer_config(node, owner, version);
         }
-        Gossip::Replicas(told) => node.watching.on_peer_replicas(node, told.into()),
+        Gossip::Replicas(told) => node.directory_watch.on_peer_replicas(node, told.into()),
         Gossip::Request(told) => quarantine::on_notified(node, told),
         Gossip::Era(era) => watch::on_notified_era(node, era),
         Gossip::Limit(told) => limits::on_notified(node, &told.into()),
-        Gossip::DirectoryBack => node.watching.on_peer_directory_back(),
+        Gossip::DirectoryBack => node.directory_watch.on_peer_directory_back(),
         Gossip::Leaving { replica } => signals::on_notified(node, ReplicaKey(replica)),
         gossip => apply_work(node, owner, gossip, now_ms),
     }
--- a/crates/front/src/node/listen.rs
+++ b/crates/front/src/node/listen.rs
@@ -126,7 +126,7 @@
         Err(_) => None,
     };
     if let Some(plan) = plan {
-        let wait_ms = plan.noticed_ms().since(node.now_ms());
+        let wait_ms = plan.notice_end_ms().since(node.now_ms());
         tokio::time::sleep(Duration::from(wait_ms)).await;
     }
 }
--- a/crates/front/src/node/run.rs
+++ b/crates/front/src/node/run.rs
@@ -122,7 +122,7 @@
         spawn_local(watch::watch_nodes(node.clone()));
         spawn_local(watch::watch_paces(node.clone()));
         spawn_local(watch::watch_quarantine(node.clone()));
-        spawn_local(watch::keep_quarantine(node.clone()));
+        spawn_local(watch::restore_quarantine(node.clone()));
         spawn_local(expire(node.clone()));
         Ok(Self {
             node,
@@ -167,7 +167,7 @@
         let plan = node.begin_stop();
         loop {
             let now_ms = node.now_ms();
-            let idle = self.connections.get() == 0 && now_ms >= plan.noticed_ms();
+            let idle = self.connections.get() == 0 && now_ms >= plan.notice_end_ms();
             if idle || now_ms >= plan.end_ms() {
                 break;
             }
@@ -236,7 +236,7 @@
         node.journal.flush();
         quarantine::expire(&node);
         limits::expire(&node);
-        node.watching.report_lag(&node);
+        node.directory_watch.report_lag(&node);
         let now_ms = node.now_ms();
         let dropped = node.with(|state| {
             state.ledger.expire(now_ms - WORK_EXPIRES_MS);
--- a/crates/front/src/node/state.rs
+++ b/crates/front/src/node/state.rs
@@ -7,7 +7,7 @@
 use crate::http::Pool;
 use crate::journal::Journal;
 use crate::platform::Platform;
-use crate::watch::Watching;
+use crate::watch::DirectoryWatch;
 use bluebell_base::prelude::*;
 use bluebell_fleet::prelude::*;
 use bluebell_quarantine::prelude::*;
@@ -58,7 +58,7 @@
     /// The text of its configuration, for its peers.
     pub copies: Copies,
     /// What its watchers of the directory share.
-    pub watching: Watching,
+    pub directory_watch: DirectoryWatch,
     /// Its log of decisions.
     pub journal: Journal,
     state: RefCell<State>,
@@ -90,7 +90,7 @@
             crash_checks: CrashChecks::default(),
             outbox: Outbox::default(),
             copies: Copies::default(),
-            watching: Watching::default(),
+            directory_watch: DirectoryWatch::default(),
             journal,
             state: RefCell::new(state),
             sequence: Cell::new(0),
@@ -116,7 +116,7 @@
     }
 
     /// A number for a new piece of work.
-    pub fn next_work(&self) -> WorkId {
+    pub fn next_work_id(&self) -> WorkId {
         let sequence = self.sequence.get().wrapping_add(1);
         self.sequence.set(sequence);
         WorkId {
@@ -128,20 +128,20 @@
     /// The list of replicas has been read.
     pub fn on_replicas_read(&self) {
         self.replicas_read.set(true);
-        self.watching.learned.notify_waiters();
+        self.directory_watch.learned.notify_waiters();
     }
 
     /// Whether the node has read what it needs to serve.
-    pub fn is_informed(&self) -> bool {
+    pub fn is_initialized(&self) -> bool {
         let known = self.with(|state| state.config.is_some());
         known && self.replicas_read.get()
     }
 
     /// Ends once the node has read what it needs to serve.
-    pub async fn informed(&self) {
+    pub async fn wait_until_initialized(&self) {
         loop {
-            let learned = self.watching.learned.notified();
-            if self.is_informed() {
+            let learned = self.directory_watch.learned.notified();
+            if self.is_initialized() {
                 return;
             }
             learned.await;
@@ -150,7 +150,7 @@
 
     /// Whether the node wants new connections.
     pub fn is_ready(&self) -> bool {
-        self.is_informed() && !self.is_stopping()
+        self.is_initialized() && !self.is_stopping()
     }
 
     /// Whether a planned stop is under way.
@@ -171,10 +171,10 @@
     }
 
     /// Whether a request that may last until `deadline_ms` is taken.
-    pub fn takes(&self, deadline_ms: MonoMs) -> bool {
+    pub fn accepts(&self, deadline_ms: MonoMs) -> bool {
         let now_ms = self.now_ms();
         let plan = *self.stopping.borrow();
-        plan.is_none_or(|plan| plan.takes(deadline_ms, now_ms))
+        plan.is_none_or(|plan| plan.accepts(deadline_ms, now_ms))
     }
 
     /// How many nodes share the fleet, this one included.
--- a/crates/front/src/watch/config.rs
+++ b/crates/front/src/watch/config.rs
@@ -88,7 +88,7 @@
             }
             Followed::Nowhere => {
                 self.read().await;
-                if self.node.watching.is_behind() {
+                if self.node.directory_watch.is_behind() {
                     tokio::time::sleep(Duration::from(UNFOUND_PAUSE_MS)).await;
                 }
             }
@@ -141,7 +141,7 @@
 /// came back from an older copy, and what the operators had written there is written again in a moment.
 fn is_held_back(node: &Node, config: &ServingConfig, since_ms: &mut Option<MonoMs>) -> bool {
     let first = node.with(|state| state.config.is_none());
-    if !first || !node.watching.is_older_than_known(config.version()) {
+    if !first || !node.directory_watch.is_older_than_known(config.version()) {
         return false;
     }
     let now_ms = node.now_ms();
@@ -166,14 +166,14 @@
                 () = &mut again => break,
             };
             if read.is_ok() || reads.is_empty() {
-                if read.is_ok() && node.watching.directory_away.replace(false) {
-                    node.watching.directory_back.notify_one();
+                if read.is_ok() && node.directory_watch.directory_away.replace(false) {
+                    node.directory_watch.directory_back.notify_one();
                 }
-                node.watching.directory_away.set(read.is_err());
+                node.directory_watch.directory_away.set(read.is_err());
                 return read;
             }
         }
-        node.watching.directory_away.set(true);
+        node.directory_watch.directory_away.set(true);
     }
 }
 
@@ -185,7 +185,7 @@
     tokio::select! {
         read = directory.read_config(Some(cursor), wait_ms) => read,
         // A read that was begun before is behind a connection that may never answer.
-        () = node.watching.directory_returned() => {
+        () = node.directory_watch.directory_returned() => {
             directory.read_config(Some(cursor), SpanMs::ZERO).await
         }
         () = overtaken(node) => directory.read_config(Some(cursor), SpanMs::ZERO).await,
@@ -201,13 +201,13 @@
     loop {
         let probe = tokio::time::sleep(Duration::from(PROBE_INTERVAL_MS));
         tokio::select! {
-            () = node.watching.newer_config.notified() => {
+            () = node.directory_watch.newer_config.notified() => {
                 tokio::time::sleep(Duration::from(OWN_READ_MS)).await;
             }
             () = probe => {}
         }
         let alone = told && !long_poll::can_rely_on_peers(node.outbox.live_peer_count());
-        if alone || node.watching.is_behind() {
+        if alone || node.directory_watch.is_behind() {
             return;
         }
     }
@@ -245,8 +245,8 @@
         TextFrom::Directory(text) => node.copies.on_read(text),
         TextFrom::Peer(copy) => node.copies.on_copied(copy),
     }
-    let behind_ms = node.watching.on_config_in_force(version, now_ms);
-    node.watching.learned.notify_waiters();
+    let behind_ms = node.directory_watch.on_config_in_force(version, now_ms);
+    node.directory_watch.learned.notify_waiters();
     node.outbox.config(version);
     node.journal.record(&Event::ConfigInForce {
         version,
--- a/crates/front/src/watch/era.rs
+++ b/crates/front/src/watch/era.rs
@@ -50,7 +50,7 @@
 
 /// An answer of the directory, or a peer, named its era. Returns whether the node knew an earlier one.
 pub(super) fn on_era(node: &Node, era: Era) -> bool {
-    let renewed = node.watching.era.take(era);
+    let renewed = node.directory_watch.era.take(era);
     if renewed {
         let now_ms = node.now_ms();
         node.with(|state| state.replicas.on_directory_renewed(now_ms));
@@ -63,15 +63,15 @@
 /// A peer knows this era.
 pub fn on_notified_era(node: &Node, era: Era) {
     if on_era(node, era) {
-        node.watching.other_replicas.notify_one();
+        node.directory_watch.other_replicas.notify_one();
     }
 }
 
 /// Ends once a later era than `era` is known, after this node's part of the time over which nodes read
 /// again.
 pub(super) async fn later_than(node: &Node, era: Era) {
-    let mut known = node.watching.era.0.subscribe();
-    while !node.watching.era.is_later_than(era) {
+    let mut known = node.directory_watch.era.0.subscribe();
+    while !node.directory_watch.era.is_later_than(era) {
         // The sender lives as long as the node.
         let _ = known.changed().await;
     }
@@ -83,7 +83,7 @@
 
 impl Renewals {
     pub fn of(node: &Node) -> Self {
-        Self(node.watching.era.0.subscribe())
+        Self(node.directory_watch.era.0.subscribe())
     }
 
     /// Ends at the next.
--- a/crates/front/src/watch/follow.rs
+++ b/crates/front/src/watch/follow.rs
@@ -50,13 +50,13 @@
         let Some(parent) = parent(node) else {
             return Followed::Reader;
         };
-        if node.watching.is_behind() {
+        if node.directory_watch.is_behind() {
             return copy_from(node, parent).await;
         }
         // Whether there is a newer one is seen by the next turn.
         let _ = tokio::time::timeout(
             Duration::from(PROBE_INTERVAL_MS),
-            node.watching.newer_config.notified(),
+            node.directory_watch.newer_config.notified(),
         )
         .await;
     }
--- a/crates/front/src/watch/paces.rs
+++ b/crates/front/src/watch/paces.rs
@@ -56,7 +56,7 @@
 }
 
 /// Whether an engine answers a look.
-pub async fn answers(node: &Rc<Node>, address: SocketAddr) -> bool {
+pub async fn is_responding(node: &Rc<Node>, address: SocketAddr) -> bool {
     report(node, address).await.is_some()
 }
 
--- a/crates/front/src/watch/pieces.rs
+++ b/crates/front/src/watch/pieces.rs
@@ -36,7 +36,7 @@
     /// Begins where `node` has read to, of the directory's `era`.
     pub fn open(node: &Node, era: Era) -> Self {
         let table = fingerprint(node);
-        let from = node.watching.cursor().filter(|from| from.era == era);
+        let from = node.directory_watch.cursor().filter(|from| from.era == era);
         Self {
             closed: Vec::new(),
             from: from.unwrap_or(Cursor::first(era)),
--- a/crates/front/src/watch/quarantine.rs
+++ b/crates/front/src/watch/quarantine.rs
@@ -41,7 +41,7 @@
 /// Stores what is in quarantine again after each renewal of the directory, until the process ends: the
 /// older copy may lack it, and a loss of power at all nodes would forget it. The node that reviews a
 /// request does that.
-pub async fn keep_quarantine(node: Rc<Node>) {
+pub async fn restore_quarantine(node: Rc<Node>) {
     let mut renewals = Renewals::of(&node);
     loop {
         renewals.next(&node).await;
--- a/crates/front/src/watch/replicas.rs
+++ b/crates/front/src/watch/replicas.rs
@@ -37,11 +37,11 @@
 pub async fn watch_replicas(node: Rc<Node>) {
     let mut backoff = Backoff::new("replicas");
     loop {
-        let cursor = node.watching.cursor();
+        let cursor = node.directory_watch.cursor();
         let read = tokio::select! {
             read = node.platform.directory.read_replicas(cursor) => read,
             // What was asked for while the directory was away is never answered.
-            () = node.watching.directory_back.notified() => {
+            () = node.directory_watch.directory_back.notified() => {
                 node.platform.directory.read_replicas(cursor).await
             }
         };
@@ -51,7 +51,7 @@
                 let cursor = update.cursor;
                 let renewed = era::on_era(&node, cursor.era);
                 let told = take(&node, update, renewed);
-                node.watching.on_own_read(cursor, node.now_ms());
+                node.directory_watch.on_own_read(cursor, node.now_ms());
                 for piece in told {
                     node.outbox.replicas(piece);
                 }
@@ -72,19 +72,19 @@
     let due_ms = LEAST_AGE_MS + rand::random_range(0..SPREAD_MS);
     loop {
         let age_ms = node
-            .watching
+            .directory_watch
             .age_ms(node.now_ms())
             .map_or(due_ms, |age| age.0);
         let Some(left_ms) = due_ms.checked_sub(age_ms).filter(|left_ms| *left_ms > 0) else {
             return;
         };
         tokio::select! {
-            () = node.watching.other_replicas.notified() => {
+            () = node.directory_watch.other_replicas.notified() => {
                 let peers = node.outbox.live_peer_count() as u64;
                 let spread_ms = (peers * PEER_SPREAD_MS).min(LONGEST_SPREAD_MS);
                 let pause_ms = rand::random_range(0..=spread_ms);
                 tokio::time::sleep(Duration::from_millis(pause_ms)).await;
-                if node.watching.misses_replicas() {
+                if node.directory_watch.misses_replicas() {
                     return;
                 }
             }
@@ -146,7 +146,7 @@
             mattered.push(change);
         }
         if seen == TableEvent::Restarted {
-            node.watching.replica_restarted.notify_waiters();
+            node.directory_watch.replica_restarted.notify_waiters();
         }
     }
     mattered
--- a/crates/front/src/watch/retry.rs
+++ b/crates/front/src/watch/retry.rs
@@ -34,7 +34,7 @@
     /// A read succeeded.
     pub fn succeeded(&mut self, node: &Node) {
         self.next_ms = FIRST_MS;
-        node.watching.on_directory_answered(node);
+        node.directory_watch.on_directory_answered(node);
         if let Some(since_ms) = self.failed_since_ms.take() {
             node.journal.record(&Event::DirectoryFound {
                 what: self.what.into(),
@@ -45,7 +45,7 @@
 
     /// A read failed; waits before the next.
     pub async fn failed(&mut self, node: &Node, error: &DirectoryError) {
-        node.watching.on_directory_failed();
+        node.directory_watch.on_directory_failed();
         if self.failed_since_ms.is_none() {
             self.failed_since_ms = Some(node.now_ms());
             node.journal.record(&Event::DirectoryLost {
--- a/crates/front/src/watch/shared.rs
+++ b/crates/front/src/watch/shared.rs
@@ -24,7 +24,7 @@
 
 /// What the watchers share with those who take gossip in.
 #[derive(Debug, Default)]
-pub struct Watching {
+pub struct DirectoryWatch {
     /// The directory's newest era.
     pub(super) era: KnownEra,
     /// A peer knows a newer configuration.
@@ -64,7 +64,7 @@
     pub changes: Vec<ReplicaChange>,
 }
 
-impl Watching {
+impl DirectoryWatch {
     /// A peer has seen this version of the configuration.
     pub fn on_peer_config(&self, node: &Node, peer: OwnerId, version: ConfigVersion) {
         let is_new = self.freshness.borrow_mut().on_known(version, node.now_ms());
@@ -132,7 +132,7 @@
     }
 
     /// Whether the directory is known not to answer, as far as a node knows that has read nothing yet.
-    pub fn is_directory_away(&self) -> bool {
+    pub fn is_directory_unreachable(&self) -> bool {
         self.directory_away.get()
     }
 
@@ -147,7 +147,7 @@
     }
 
     /// Ends once no newer configuration than the one in force is known.
-    pub async fn caught_up(&self) {
+    pub async fn wait_until_current(&self) {
         loop {
             let learned = self.learned.notified();
             if !self.is_behind() {
@@ -158,7 +158,7 @@
     }
 
     /// Ends once a later start of `replica` is known.
-    pub async fn restarted(&self, node: &Node, replica: &Replica) {
+    pub async fn wait_for_restart(&self, node: &Node, replica: &Replica) {
         loop {
             let notified = self.replica_restarted.notified();
             if node.with(|state| state.replicas.has_restarted(replica)) {
