--- a/crates/fleet/src/urgency/mod.rs
+++ b/crates/fleet/src/urgency/mod.rs
@@ -1,33 +1,33 @@
-//! How urgent a request is where replicas let several wait.
+//! Urgency of requests, by which replicas order those that wait.
 //!
-//! Load pattern: at the change from long to short work drafts arrive at engines on which long
-//! prompts still wait for a slot or for memory, and an engine lets the more urgent in first.
+//! Load pattern: when short work follows long work, short requests arrive at engines on which long
+//! prompts still wait for a slot or for memory. An engine admits the more urgent request first.
 //!
-//! Reason for the limits: operators rank routes and client accounts, and the rank goes before all
+//! Reason for the limits: operators rank routes and client accounts, and the rank counts before all
 //! else. Within a rank the shorter target goes first, since it is missed first.
 //!
 //! Invariants: a higher rank is never behind a lower one, whatever the targets.
 
 use bluebell_base::prelude::*;
 
-/// Targets up to this are short.
-const SHORT_MS: SpanMs = SpanMs(500);
-/// Targets above this are long.
-const LONG_MS: SpanMs = SpanMs(2_000);
+/// Longest target that counts as short.
+const SHORT_TARGET_MS: SpanMs = SpanMs(500);
+/// Longest target that doesn't count as long.
+const LONG_TARGET_MS: SpanMs = SpanMs(2_000);
 
-/// How many urgencies a rank has.
-const BANDS: u8 = 3;
-/// The last rank that is told from those below it.
+/// Number of urgencies within a rank.
+const BANDS_PER_RANK: u8 = 3;
+/// Last rank that is distinguished; lower ones count as this one.
 const LAST_RANK: u8 = 2;
 
-/// The urgency of a request, from 0, the first, to 8.
+/// The urgency of a request, from 0, the most urgent, to 8.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Urgency(pub u8);
 
 impl Urgency {
-    /// The urgency at this rank, 0 being the highest, and with this target.
+    /// Returns the urgency for this rank, where 0 is the highest, and this target.
     pub fn of(rank: u8, target_ms: SpanMs) -> Self {
-        let band = u8::from(target_ms > SHORT_MS) + u8::from(target_ms > LONG_MS);
-        Self(rank.min(LAST_RANK) * BANDS + band)
+        let band = u8::from(target_ms > SHORT_TARGET_MS) + u8::from(target_ms > LONG_TARGET_MS);
+        Self(rank.min(LAST_RANK) * BANDS_PER_RANK + band)
     }
 }
--- a/crates/fleet/tests/budget.rs
+++ b/crates/fleet/tests/budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget and the trust in replicas.
+//! Tests of the retry budget and of the health of replicas.
 
 use bluebell_base::prelude::*;
 use bluebell_fleet::prelude::*;
@@ -10,10 +10,10 @@
     window_ms: SpanMs(10_000),
 };
 
-/// Replicas fail all requests, and every node that is cut off from the others repeats what it can.
-/// All together must stay within the operators' limits in any window.
+/// Guards against nodes that are cut off from each other and repeat too much when replicas fail all
+/// requests. All nodes together must stay within the operators' limits in any window.
 #[test]
-fn nodes_that_hear_nobody_stay_within_the_shared_limit() {
+fn isolated_nodes_stay_within_the_shared_limit() {
     let service = ServiceName("drafts".into());
     let nodes = 9;
     let mut repeats = 0;
@@ -28,10 +28,13 @@
     let requests = 600.0 * nodes as f64;
     let limit = LIMITS.ratio * requests + LIMITS.allowance;
     assert!(f64::from(repeats) <= limit, "{repeats} over {limit}");
-    assert!(f64::from(repeats) >= limit / 2.0, "{repeats} is timid");
+    assert!(
+        f64::from(repeats) >= limit / 2.0,
+        "{repeats} is less than half of the limit {limit}"
+    );
 }
 
-/// What was spent comes back once its window is over.
+/// A repeat that was taken is available again once its window is over.
 #[test]
 fn the_budget_recovers() {
     let service = ServiceName("drafts".into());
@@ -42,8 +45,8 @@
     assert!(take(30_001));
 }
 
-/// A silent replica swallows request after request. It gets none while it is doubted, then one at a
-/// time, and each failure on trial doubles the pause.
+/// A silent replica answers no request. It must get none while it is doubted, then one at a time,
+/// and each failure on trial doubles the pause.
 #[test]
 fn a_silent_replica_is_let_back_one_request_at_a_time() {
     let mut health = Health::default();
@@ -59,11 +62,11 @@
     health.begin();
     health.on_symptom(Symptom::Good, MonoMs(4_200));
     health.end_trial();
-    assert!(!health.begin(), "it is trusted again");
+    assert!(!health.begin(), "it is no longer doubted");
 }
 
-/// A service fails one call in seven by itself; its replicas must not be doubted for that, and one
-/// that fails every second call must.
+/// Some services fail one call in seven by themselves. Their replicas must not be doubted for that,
+/// but a replica that fails every second call must be.
 #[test]
 fn a_replica_is_doubted_for_failing_more_than_its_service_does() {
     let fails = |every: u64| {
@@ -82,8 +85,8 @@
     assert!(fails(2));
 }
 
-/// Calls fail because all replicas of a service are doubted, and all are sound. Some callers had left
-/// them 40 ms, and each such silence took a replica out for a second.
+/// Guards against calls that fail because all healthy replicas of a service are doubted. Some
+/// callers had left them 40 ms, and each such silence excluded a replica for a second.
 #[test]
 fn a_replica_without_time_to_answer_is_not_doubted() {
     let mut health = Health::default();
--- a/crates/fleet/tests/long_poll.rs
+++ b/crates/fleet/tests/long_poll.rs
@@ -1,12 +1,12 @@
-//! How long reads of the directory stay open, for fleets of several sizes.
+//! Tests of the timeouts of directory reads, for fleets of several sizes.
 
 use bluebell_fleet::long_poll::long_poll_timeout;
 use expect_test::expect;
 
-/// Behind a connection that has fallen silent a node learns of a new configuration only from its
-/// peers. With reads of one length, begun together, nobody would begin a new one for seconds.
+/// A node whose connection has failed silently learns of a new configuration only from its peers.
+/// With reads of equal length that began together, no node would begin a new one for seconds.
 #[test]
-fn reads_are_open_for_longer_the_more_nodes_tell_each_other() {
+fn reads_stay_open_longer_in_larger_fleets() {
     let mut table = String::from("peers  shortest  longest, ms\n");
     for peers in [0, 1, 2, 8, 29, 59, 399] {
         let (shortest, longest) = (
--- a/crates/fleet/tests/silence.rs
+++ b/crates/fleet/tests/silence.rs
@@ -1,4 +1,4 @@
-//! When an engine that is silent is given up.
+//! Tests of when a silent engine is given up.
 
 use bluebell_base::prelude::*;
 use bluebell_fleet::prelude::*;
@@ -27,10 +27,11 @@
     }
 }
 
-/// Long prompts come every 200 ms, and each is read before those that came earlier. The first was
-/// broken off after 3.7 s though all its engines worked, and its prompt was read again elsewhere.
+/// Long prompts arrive every 200 ms, and each is read before those that came earlier. Guards
+/// against breaking the first one off after 3.7 s although all its engines are working, and reading
+/// its prompt again elsewhere.
 #[test]
-fn a_prompt_that_others_overtake_is_waited_for() {
+fn an_attempt_whose_prompt_is_overtaken_is_not_given_up() {
     let mut ledger = Ledger::default();
     let start_ms = MonoMs(100_000);
     ledger.put(id(0), work(&[2, 3], 1_000.0, start_ms), start_ms);
@@ -43,17 +44,18 @@
     assert_eq!(limit_ms, SpanMs(3_700));
     let reading_ms = ledger.reading_left_ms(id(0), given_up_ms);
     assert_eq!(reading_ms, Some(1_700.0));
-    let waits_ms = timeout_extension(reading_ms, SpanMs(8_000), 1_000.0).expect("it is worth it");
+    let waits_ms =
+        timeout_extension(reading_ms, SpanMs(8_000), 1_000.0).expect("there is time to wait");
     assert_eq!(waits_ms, SpanMs(2_200));
-    // Everything is read by then, so a silence that lasts is one.
+    // Everything is read by then, so a silence that lasts is a real one.
     let reading_ms = ledger.reading_left_ms(id(0), given_up_ms + waits_ms);
     assert_eq!(timeout_extension(reading_ms, SpanMs(8_000), 1_000.0), None);
 }
 
-/// An engine is waited for until its caller leaves, who then has nothing: while there is time for a
-/// new try, it is begun.
+/// Guards against waiting for an engine until the caller leaves without an answer. A new attempt
+/// must begin while there is time for it.
 #[test]
-fn a_new_try_gets_its_time() {
+fn enough_time_is_left_for_a_new_attempt() {
     assert_eq!(
         timeout_extension(Some(1_000.0), SpanMs(2_400), 1_000.0),
         None
@@ -65,17 +67,19 @@
     );
 }
 
-/// Callers leave after two seconds of silence at the earliest, so a short pause is no reason yet.
+/// Callers leave after two seconds of silence at the earliest, so a short pause is no reason to
+/// give an engine up.
 #[test]
-fn pauses_are_borne_for_several_times_what_is_on_time() {
+fn pauses_of_several_times_the_limit_are_accepted() {
     assert_eq!(pause_timeout(SpanMs(250)), SpanMs(1_700));
     assert_eq!(pause_timeout(SpanMs(1_000)), SpanMs(5_000));
 }
 
-/// An engine hung, and the memory that was set aside for its prompt at another lay idle for fourteen seconds.
-/// It is kept for eight seconds, and for longer only while the prompt is still being read.
+/// Guards against memory that stays reserved but unused for fourteen seconds because an engine
+/// stopped answering. It must be kept for eight seconds, and longer only while the prompt is still
+/// being read.
 #[test]
-fn memory_is_kept_for_what_is_read() {
+fn memory_stays_reserved_while_the_prompt_is_read() {
     for (reading_ms, waited_ms, left_ms) in [
         (None, 0, Some(8_000)),
         (None, 7_999, Some(1)),
--- a/crates/fleet/tests/urgency.rs
+++ b/crates/fleet/tests/urgency.rs
@@ -1,11 +1,11 @@
-//! Who is let in first where several wait.
+//! Tests of the order in which waiting requests are admitted.
 
 use bluebell_base::prelude::*;
 use bluebell_fleet::prelude::*;
 use expect_test::expect;
 
-/// A draft waited at its engine behind a whole archive that came earlier, and a ranked account's
-/// request behind everybody's.
+/// Guards against a short request that waits at its engine behind a long archive prompt that came
+/// earlier, and against a ranked account's request that waits behind all others.
 #[test]
 fn ranks_go_first_and_then_short_targets() {
     let mut table = String::from("rank  300 ms  1500 ms  4000 ms\n");
