--- a/crates/fleet/src/engine/mod.rs
+++ b/crates/fleet/src/engine/mod.rs
@@ -1,55 +1,56 @@
-//! What an engine's work costs: the time to read a prompt and the time of a pass of writing.
+//! Cost model of an engine: the time to read a prompt and the time of a pass of writing.
 //!
-//! Terms: a *step* writes one token for each writer; a *pass* with writers runs `stride` steps, each
-//! of which may also read a *chunk* of waiting prompts; a *pair* is a token and an earlier one.
+//! Terms: a *step* writes one token for each writer; a *pass* with writers runs `stride` steps,
+//! each of which may also read a *chunk* of waiting prompts; a *pair* is a token and an earlier
+//! one.
 //!
 //! Invariants: costs grow with tokens, and are finite for the values that a configuration may hold.
 
 use bluebell_base::prelude::*;
 
-/// The figures of one service's engines, as the operators' configuration gives them.
+/// Figures of the engines of one service, from the operators' configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineSpec {
-    /// The most requests that run at once.
+    /// The highest number of requests that run at once.
     pub slots: u32,
-    /// Memory, in tokens.
+    /// The memory, in tokens.
     pub memory_tokens: Tokens,
     /// The base time of a step.
     pub step_ms: f64,
-    /// What each writer adds to a step.
+    /// The time that each writer adds to a step.
     pub per_writer_ms: f64,
-    /// What 1,000 tokens of a writer's context add to a step.
+    /// The time that 1,000 tokens of a writer's context add to a step.
     pub per_context_k_ms: f64,
-    /// How many prompt tokens are read in a second, pairs aside.
+    /// The number of prompt tokens that are read per second, without the cost of pairs.
     pub read_per_s: f64,
-    /// What a million pairs add to reading.
+    /// The time that a million pairs add to reading.
     pub pairs_per_m_ms: f64,
-    /// The most prompt tokens that one step reads.
+    /// The highest number of prompt tokens that one step reads.
     pub chunk_tokens: Tokens,
-    /// The steps of a pass that has writers.
+    /// The number of steps of a pass that has writers.
     pub stride: u32,
-    /// What reading in parts adds to each of the writer's steps.
+    /// The time that reading in parts adds to each step of the writer.
     pub hop_ms: f64,
 }
 
-/// The passes from which reading a prompt is long: shared by two engines, a shorter one would be
-/// read less than a pass sooner.
-const LONG_PASSES: f64 = 2.0;
+/// Reading time from which a prompt is long, in passes. Two engines that share a shorter prompt
+/// would have read it less than a pass sooner than one.
+const MIN_LONG_PASSES: f64 = 2.0;
 
 impl EngineSpec {
-    /// The time from which reading a prompt is long, so that several engines may share it.
+    /// Returns the reading time from which a prompt is long, so that several engines may share it.
     pub fn long_read_ms(&self) -> f64 {
-        self.pass_ms(1, Tokens::ZERO) * LONG_PASSES
+        self.pass_ms(1, Tokens::ZERO) * MIN_LONG_PASSES
     }
 
-    /// The time that reading a prompt takes one engine that does nothing else.
+    /// Returns the time that reading a prompt takes one engine that does nothing else.
     pub fn read_ms(&self, prompt_tokens: Tokens) -> f64 {
         let tokens = prompt_tokens.0 as f64;
         let pairs_m = tokens * tokens / 2.0 / 1e6;
         tokens * 1000.0 / self.read_per_s.max(1.0) + pairs_m * self.pairs_per_m_ms
     }
 
-    /// The time of a pass without reading.
+    /// Returns the time of a pass without reading.
     pub fn pass_ms(&self, writers: u32, context_tokens: Tokens) -> f64 {
         let step_ms = self.step_ms
             + self.per_writer_ms * f64::from(writers)
@@ -57,7 +58,7 @@
         step_ms * f64::from(self.stride.max(1))
     }
 
-    /// The most prompt tokens that one pass with writers reads.
+    /// Returns the highest number of prompt tokens that one pass with writers reads.
     pub fn pass_tokens(&self) -> Tokens {
         Tokens(self.chunk_tokens.0.max(1) * u64::from(self.stride.max(1)))
     }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,14 +1,19 @@
-//! Decisions over a fleet of replicas that many equal nodes share: which replica takes a request,
-//! when a request is turned away, and when a broken try may be repeated.
+//! Decisions over a fleet of replicas that many equal nodes share: which replica runs a request,
+//! when a request is refused, and when a failed attempt may be repeated.
 //!
 //! Terms:
 //! - a *replica* is one running copy of a service; an *engine* is a replica that reads prompts and
-//!   writes tokens, a *plain* replica answers whole calls;
-//! - *reading* a prompt ends with its first token, *writing* follows; writers of one engine advance
-//!   together in *passes*, and whatever is read in a pass delays all of its writers;
-//! - the *ledger* holds all work in flight, of this node and, as far as they told, of its peers.
+//!   writes tokens; a *plain* replica answers whole calls;
+//! - *reading* a prompt (prefill) ends with its first token, and *writing* (decode) follows; an
+//!   engine advances all the requests that it writes, its *writers*, together in *passes*, and
+//!   whatever is read in a pass delays all of them;
+//! - a *helper* is an engine that reads a part of a prompt whose answer another engine writes;
+//! - the *weight* of a request is what it counts against others; costs and prices are in units of
+//!   weight;
+//! - the *ledger* holds all work in flight, of this node and, as far as they reported it, of its
+//!   peers.
 //!
-//! Invariants: nothing here does I/O or reads a clock; every instant comes in as [`MonoMs`].
+//! Invariants: nothing here does I/O or reads a clock; every instant is passed in as [`MonoMs`].
 //!
 //! [`MonoMs`]: bluebell_base::prelude::MonoMs
 
@@ -32,7 +37,7 @@
 pub mod urgency;
 pub mod waiting;
 
-/// What users of this package import.
+/// Items that users of this package import.
 pub mod prelude {
     pub use crate::backoff::{ReplicaBackoffs, RetryAfterSignal};
     pub use crate::budget::{RetryBudget, RetryLimits};
--- a/crates/fleet/src/serving/mod.rs
+++ b/crates/fleet/src/serving/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration in force: routes, services, client accounts and limits.
+//! Configuration of the operators that is in force: routes, services, client accounts and limits.
 //!
 //! Terms: a *route* maps a host and a path prefix to a service; the longest prefix wins. A *split*
 //! divides a route's requests between services by share.
@@ -10,7 +10,7 @@
 
 use crate::engine::EngineSpec;
 
-/// What may be repeated of a route's requests, and how they are answered.
+/// Kind of a route: the form of its answers, and whether its requests may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RouteKind {
     /// One answer; the request is idempotent.
@@ -19,7 +19,7 @@
     AtMostOnce,
     /// A stream of events.
     Stream {
-        /// Whether another replica may go on after the last event.
+        /// True if another replica may continue after the last event.
         resumable: bool,
         /// The longest pause between two events that still counts as on time.
         gap_ms: SpanMs,
@@ -27,7 +27,7 @@
 }
 
 impl RouteKind {
-    /// Whether a request may be sent again although an earlier try may have run.
+    /// Returns true if a request may be sent again although an earlier attempt may have run.
     pub fn repeatable(self) -> bool {
         match self {
             RouteKind::Idempotent => true,
@@ -37,61 +37,61 @@
     }
 }
 
-/// A part of a route's requests.
+/// A share of a route's requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Split {
-    /// The service that takes this part.
+    /// The service that the share goes to.
     pub service: ServiceName,
-    /// Its share, relative to the other parts.
+    /// The size of the share, relative to the other shares.
     pub weight: u32,
 }
 
 /// One route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// The operators' name for it.
+    /// The operators' name for the route.
     pub name: Arc<str>,
-    /// The host that it answers to, in lower case and without a port.
+    /// The host of the route, in lower case and without a port.
     pub host: Arc<str>,
-    /// The beginning of its paths; begins and ends with a slash.
+    /// The prefix of the route's paths; it begins and ends with a slash.
     pub path_prefix: Arc<str>,
-    /// What may be repeated.
+    /// The kind of the route.
     pub kind: RouteKind,
     /// The longest time that a caller is kept waiting.
     pub timeout_ms: SpanMs,
     /// The time within which an answer, or a stream's first event, is on time.
     pub target_ms: SpanMs,
-    /// Its rank; 0 goes first.
+    /// The rank of its requests; 0 is the highest.
     pub priority: u8,
-    /// Where its requests go.
+    /// The services that its requests go to.
     pub splits: Vec<Split>,
-    /// The most replicas that one request may be sent to.
+    /// The highest number of replicas that one request may be sent to.
     pub max_attempts: u32,
-    /// Whether it is open to callers without a key.
+    /// True if the route is open to callers without a key.
     pub public: bool,
 }
 
 /// One service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// The name of the service.
     pub name: ServiceName,
-    /// The most connections that one replica accepts from all callers together.
+    /// The highest number of connections that one replica accepts from all callers together.
     pub max_connections: u32,
-    /// How its replicas read and write; none for a plain service.
+    /// The figures of its engines; `None` for a plain service.
     pub engine: Option<EngineSpec>,
 }
 
 /// A client account.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Account {
-    /// Its name.
+    /// The name of the account.
     pub name: AccountName,
-    /// Its rank, which goes before the route's; none where the route's counts.
+    /// The rank of its requests, which overrides the route's; `None` if the route's applies.
     pub priority: Option<u8>,
 }
 
-/// What a caller may send, and how long it may be idle.
+/// Limits on the size of requests and on slow or idle callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientLimits {
     /// The largest head of a request.
@@ -100,16 +100,16 @@
     pub body_bytes: Bytes,
     /// The longest time that a head may take to arrive.
     pub head_timeout_ms: SpanMs,
-    /// How long a connection without a request is kept.
+    /// The longest time that a connection without a request is kept.
     pub idle_timeout_ms: SpanMs,
 }
 
-/// What a lookup of a route found.
+/// Result of a lookup of a route.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RouteLookup {
-    /// The route that the request is on.
+    /// The route of the request.
     Found(Arc<Route>),
-    /// No route answers to host and path.
+    /// No route matches host and path.
     Unknown,
 }
 
@@ -125,7 +125,7 @@
 }
 
 impl ServingConfig {
-    /// An empty configuration; `requires_key` tells whether requests need a key.
+    /// Creates an empty configuration. Requests need a key if `requires_key` is true.
     pub fn new(version: ConfigVersion, limits: ClientLimits, requires_key: bool) -> Self {
         Self {
             version,
@@ -149,30 +149,30 @@
             .insert(service.name.clone(), Arc::new(service));
     }
 
-    /// Lets `key` stand for `account`.
+    /// Assigns `key` to `account`.
     pub fn add_key(&mut self, key: Arc<str>, account: Arc<Account>) {
         self.accounts.insert(key, account);
     }
 
-    /// Its version.
+    /// Returns the version of the configuration.
     pub fn version(&self) -> ConfigVersion {
         self.version
     }
 
-    /// What callers may send.
+    /// Returns the limits on callers.
     pub fn limits(&self) -> ClientLimits {
         self.limits
     }
 
-    /// Whether requests on routes that aren't public need a key.
+    /// Returns true if requests on routes that aren't public need a key.
     pub fn requires_key(&self) -> bool {
         self.requires_key
     }
 
-    /// The route of `host` with the longest prefix of `path`.
+    /// Returns the route of `host` with the longest prefix of `path`.
     ///
-    /// Each slash of the path ends a candidate prefix, so the cost follows the path's depth and
-    /// not the number of routes.
+    /// Each slash of the path ends a candidate prefix, so the cost depends on the depth of the path
+    /// and not on the number of routes.
     pub fn route(&self, host: &str, path: &str) -> RouteLookup {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let host = match name.bytes().any(|b| b.is_ascii_uppercase()) {
@@ -192,29 +192,29 @@
         RouteLookup::Unknown
     }
 
-    /// The service called `name`.
+    /// Returns the service called `name`.
     pub fn service(&self, name: &ServiceName) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
 
-    /// The account that holds `key`.
+    /// Returns the account that holds `key`.
     pub fn account(&self, key: &str) -> Option<&Arc<Account>> {
         self.accounts.get(key)
     }
 
-    /// All services.
+    /// Returns all services.
     pub fn services(&self) -> impl Iterator<Item = &Arc<Service>> {
         self.services.values()
     }
 
-    /// The number of routes.
+    /// Returns the number of routes.
     pub fn route_count(&self) -> usize {
         self.routes.values().map(FxHashMap::len).sum()
     }
 }
 
 impl Route {
-    /// The service for a request whose `draw` is spread evenly over `u32`.
+    /// Chooses the service for a request by `draw`, a random number spread evenly over `u32`.
     pub fn service(&self, draw: u32) -> Option<&ServiceName> {
         let total: u64 = self.splits.iter().map(|s| u64::from(s.weight)).sum();
         if total == 0 {
