--- a/crates/front/src/quarantine/mod.rs
+++ b/crates/front/src/quarantine/mod.rs
@@ -1,8 +1,8 @@
-//! The node's part in keeping requests from replicas that they end: what its tries show, what it
-//! tells its peers and the directory, and what it refuses.
+//! The node's side of the quarantine, which keeps fatal requests away from replicas. It records crashes
+//! under the node's own requests, notifies peers, and stores the result in the directory.
 //!
-//! Invariants: whatever puts a request into quarantine, or out of it, has a line in the log; what the
-//! directory is told is what is known at the moment of telling.
+//! Invariants: each change that puts a request into quarantine or lets it out is logged; what is stored
+//! in the directory is the state at the time of the write.
 
 use crate::journal::Event;
 use crate::node::Node;
@@ -15,73 +15,74 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// How something about a request's quarantine became known.
+/// The cause of a change to a request's quarantine, or the way in which it became known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
-    /// Replicas ended under it.
+pub enum QuarantineCause {
+    /// Replicas crashed under the request.
     Judged,
-    /// Peers told.
-    Told,
-    /// It stood in the directory.
+    /// A peer sent a notice.
+    Peer,
+    /// The directory had it stored.
     Stored,
     /// The request was served.
     Served,
     /// An operator lifted it.
     Lifted,
-    /// Nobody asked for it for long.
+    /// The request didn't arrive again for a long time.
     Forgotten,
 }
 
-impl How {
-    /// Its name in logs.
+impl QuarantineCause {
+    /// Returns the cause's name in the log and the metrics.
     pub fn as_str(self) -> &'static str {
         match self {
-            How::Judged => "judged",
-            How::Told => "told",
-            How::Stored => "stored",
-            How::Served => "served",
-            How::Lifted => "lifted",
-            How::Forgotten => "forgotten",
+            QuarantineCause::Judged => "judged",
+            QuarantineCause::Peer => "told",
+            QuarantineCause::Stored => "stored",
+            QuarantineCause::Served => "served",
+            QuarantineCause::Lifted => "lifted",
+            QuarantineCause::Forgotten => "forgotten",
         }
     }
 
-    /// Whether this node's peers hear of it from here.
-    fn is_notified(self, turn: QuarantineChange) -> bool {
-        match turn {
-            // All nodes judge alike: those that saw an end tell of it.
-            QuarantineChange::Quarantined { seen, .. } => seen && self == How::Judged,
-            _ => matches!(self, How::Served | How::Lifted),
+    /// Returns true if this node notifies its peers of the change.
+    fn notifies_peers(self, change: QuarantineChange) -> bool {
+        match change {
+            // All nodes reach the same verdict, so only those that saw a crash notify the others.
+            QuarantineChange::Quarantined { seen, .. } => seen && self == QuarantineCause::Judged,
+            _ => matches!(self, QuarantineCause::Served | QuarantineCause::Lifted),
         }
     }
 }
 
-/// A replica that ended under a try of this node.
+/// A crash of a replica under an attempt of this node.
 #[derive(Clone, Debug)]
 pub struct ObservedCrash {
-    /// The id of the arrival whose try it was.
+    /// The id of the call that made the attempt.
     pub request: Arc<str>,
-    /// The request.
+    /// The digest of the request.
     pub digest: RequestDigest,
-    /// The replica.
+    /// The replica that crashed.
     pub replica: Arc<Replica>,
-    /// What is known of the request there.
+    /// The evidence of what the request did on the replica.
     pub evidence: Evidence,
-    /// When the connection broke, which may be seconds before the end is known for one.
+    /// The time at which the connection broke, which may be seconds before that is known to be a
+    /// crash.
     pub at_ms: MonoMs,
 }
 
-/// A replica ended under a request of this node.
-pub fn on_crash(node: &Rc<Node>, end: ObservedCrash) {
+/// Records that a replica crashed under a request of this node.
+pub fn on_crash(node: &Rc<Node>, crash: ObservedCrash) {
     let ObservedCrash {
         request,
         digest,
         replica,
         evidence,
         at_ms,
-    } = end;
+    } = crash;
     let run = ServerRun(replica.key().0);
-    let turn = node.with(|state| state.quarantine.on_crash(digest, run, evidence, at_ms));
-    if turn == QuarantineChange::None {
+    let change = node.with(|state| state.quarantine.on_crash(digest, run, evidence, at_ms));
+    if change == QuarantineChange::None {
         return;
     }
     let times = (at_ms, node.now_ms());
@@ -93,76 +94,84 @@
         digest,
         evidence,
     });
-    on_turn(node, digest, turn, How::Judged);
+    on_change(node, digest, change, QuarantineCause::Judged);
 }
 
-/// A request was served whole: it doesn't end each replica that runs it.
+/// Records that a request was served completely, so that it isn't fatal to every replica that runs it.
 pub fn on_served(node: &Rc<Node>, digest: RequestDigest) {
-    clear(node, digest, How::Served);
+    clear(node, digest, QuarantineCause::Served);
 }
 
-/// An operator lifts a request's quarantine; returns whether there was one.
+/// Lifts a request's quarantine on an operator's order. Returns true if there was one.
 pub fn lift(node: &Rc<Node>, digest: RequestDigest) -> bool {
-    clear(node, digest, How::Lifted)
+    clear(node, digest, QuarantineCause::Lifted)
 }
 
-fn clear(node: &Rc<Node>, digest: RequestDigest, how: How) -> bool {
+/// Clears what is known against a request. Returns true if it was in quarantine.
+fn clear(node: &Rc<Node>, digest: RequestDigest, cause: QuarantineCause) -> bool {
     let now_ms = node.now_ms();
-    let turn = node.with(|state| state.quarantine.clear(digest, now_ms));
-    on_turn(node, digest, turn, how);
-    turn == QuarantineChange::Cleared { quarantined: true }
+    let change = node.with(|state| state.quarantine.clear(digest, now_ms));
+    on_change(node, digest, change, cause);
+    change == QuarantineChange::Cleared { quarantined: true }
 }
 
-/// A peer told something.
-pub fn on_notified(node: &Rc<Node>, told: QuarantineNotice) {
+/// Handles a peer's notice.
+pub fn on_notified(node: &Rc<Node>, notice: QuarantineNotice) {
     let now_ms = node.now_ms();
-    let (digest, turn) = node.with(|state| state.quarantine.on_notified(told, now_ms));
-    let how = match told {
-        QuarantineNotice::Ended { .. } => How::Judged,
-        QuarantineNotice::Quarantined { .. } | QuarantineNotice::Cleared { .. } => How::Told,
+    let (digest, change) = node.with(|state| state.quarantine.on_notified(notice, now_ms));
+    let cause = match notice {
+        QuarantineNotice::Ended { .. } => QuarantineCause::Judged,
+        QuarantineNotice::Quarantined { .. } | QuarantineNotice::Cleared { .. } => {
+            QuarantineCause::Peer
+        }
     };
-    on_turn(node, digest, turn, how);
+    on_change(node, digest, change, cause);
 }
 
-/// The directory remembers a request's quarantine.
+/// Handles a request's quarantine that was read from the directory.
 pub fn on_stored(node: &Rc<Node>, digest: RequestDigest, term: Term) {
     let now_ms = node.now_ms();
-    let turn = node.with(|state| state.quarantine.on_stored(digest, term, now_ms));
-    on_turn(node, digest, turn, How::Stored);
+    let change = node.with(|state| state.quarantine.on_stored(digest, term, now_ms));
+    on_change(node, digest, change, QuarantineCause::Stored);
 }
 
-/// Forgets what counts no more.
+/// Drops records that no longer count, and ends quarantines of requests that never came again.
 pub fn expire(node: &Rc<Node>) {
     let now_ms = node.now_ms();
     for digest in node.with(|state| state.quarantine.expire(now_ms)) {
-        let turn = QuarantineChange::Cleared { quarantined: true };
-        on_turn(node, digest, turn, How::Forgotten);
+        let change = QuarantineChange::Cleared { quarantined: true };
+        on_change(node, digest, change, QuarantineCause::Forgotten);
     }
 }
 
-/// Judges once the last end is old enough.
-fn judge_soon(node: &Rc<Node>) {
+/// Judges the suspected requests once the last crash is old enough.
+fn schedule_judgement(node: &Rc<Node>) {
     let node = node.clone();
     spawn_local(async move {
         tokio::time::sleep(Duration::from(DETECTION_DELAY_MS)).await;
         let now_ms = node.now_ms();
-        for (digest, turn) in node.with(|state| state.quarantine.judge(now_ms)) {
-            on_turn(&node, digest, turn, How::Judged);
+        for (digest, change) in node.with(|state| state.quarantine.judge(now_ms)) {
+            on_change(&node, digest, change, QuarantineCause::Judged);
         }
     });
 }
 
-/// Logs, tells and stores what changed.
-fn on_turn(node: &Rc<Node>, digest: RequestDigest, turn: QuarantineChange, how: How) {
+/// Logs a change, notifies peers of it and stores it in the directory, as far as each applies.
+fn on_change(
+    node: &Rc<Node>,
+    digest: RequestDigest,
+    change: QuarantineChange,
+    cause: QuarantineCause,
+) {
     let now_ms = node.now_ms();
-    let quarantined = match turn {
+    let quarantined = match change {
         QuarantineChange::None | QuarantineChange::Ended { judged: false } => return,
-        QuarantineChange::Ended { judged: true } => return judge_soon(node),
+        QuarantineChange::Ended { judged: true } => return schedule_judgement(node),
         QuarantineChange::Quarantined { term, .. } => {
             node.journal.record(&Event::RequestQuarantined {
                 digest,
                 term,
-                how: how.as_str(),
+                how: cause.as_str(),
             });
             true
         }
@@ -170,42 +179,42 @@
             if quarantined {
                 node.journal.record(&Event::QuarantineEnded {
                     digest,
-                    how: how.as_str(),
+                    how: cause.as_str(),
                 });
             }
             quarantined
         }
     };
-    let told = how.is_notified(turn);
-    if told && let Some(told) = node.with(|state| state.quarantine.notice(&digest, now_ms)) {
-        node.outbox.request(told);
+    let notifies = cause.notifies_peers(change);
+    if notifies && let Some(notice) = node.with(|state| state.quarantine.notice(&digest, now_ms)) {
+        node.outbox.request(notice);
     }
-    // Those that saw its ends may be gone by now, so the node that will review the request stores
-    // it as well.
-    let stores = how != How::Stored && (told || is_reviewer(node, &digest));
+    // The nodes that saw the crashes may be gone by now, so the node that will review the request also
+    // stores it.
+    let stores = cause != QuarantineCause::Stored && (notifies || is_reviewer(node, &digest));
     if quarantined && stores {
         store_quarantine(node.clone(), digest);
     }
 }
 
-/// Whether this node tries the request again once its term is over.
+/// Returns true if this node tries the request again once its term is over.
 pub fn is_reviewer(node: &Node, digest: &RequestDigest) -> bool {
     let peers = node.outbox.live_peers();
     reviews(digest, node.owner.0, peers.iter().map(|owner| owner.0))
 }
 
-/// One request in quarantine, as operators see it.
+/// A request in quarantine, as the operators' page lists it.
 #[derive(Debug, serde::Serialize, serde::Deserialize)]
 pub struct QuarantinedRequest {
-    /// The request.
+    /// The digest of the request.
     pub digest: RequestDigest,
-    /// How often it was confirmed.
+    /// The term, which grows each time that a review confirms the quarantine.
     pub term: Term,
     /// The time until its review.
     pub review_in_ms: SpanMs,
 }
 
-/// All requests in quarantine.
+/// Returns all requests in quarantine, in the order of their digests.
 pub fn list(node: &Node) -> Vec<QuarantinedRequest> {
     let now_ms = node.now_ms();
     let mut listed: Vec<QuarantinedRequest> = node.with(|state| {
