--- a/crates/front/src/metrics/mod.rs
+++ b/crates/front/src/metrics/mod.rs
@@ -1,7 +1,7 @@
-//! Counters and latency histograms of the serving path, taken from the log's events so that both
-//! tell the same.
+//! Metrics of the serving path. They are updated from the log's events, so that the log and the metrics
+//! agree.
 //!
-//! Invariants: labels come from closed sets, so the number of series is bounded; no request, key or
+//! Invariants: labels come from closed sets, so the number of series is bounded. No request, key or
 //! account is a label.
 
 use crate::journal::Event;
@@ -14,8 +14,8 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Registry, TextEncoder};
 
-/// Bucket bounds of times to first events and ends, in milliseconds: the users' targets and what
-/// lies around them.
+/// Bucket bounds of the times to the first event and to the end, in milliseconds. They are the users'
+/// targets and values around them.
 const TIME_BOUNDS_MS: [f64; 14] = [
     10.0, 25.0, 50.0, 100.0, 200.0, 300.0, 600.0, 1_000.0, 1_500.0, 2_000.0, 3_000.0, 5_000.0,
     10_000.0, 20_000.0,
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    /// Kept because dropping it stops the collection.
+    /// The provider of the instruments. Dropping it would stop the collection.
     _provider: SdkMeterProvider,
     requests: Counter<u64>,
     tries: Counter<u64>,
@@ -61,7 +61,12 @@
     meter.u64_counter(name).with_description(help).build()
 }
 
-fn times(meter: &Meter, name: &'static str, help: &'static str, bounds: &[f64]) -> Histogram<f64> {
+fn histogram(
+    meter: &Meter,
+    name: &'static str,
+    help: &'static str,
+    bounds: &[f64],
+) -> Histogram<f64> {
     let histogram = meter.f64_histogram(name).with_description(help);
     histogram.with_boundaries(bounds.to_vec()).build()
 }
@@ -75,16 +80,16 @@
 }
 
 impl Metrics {
-    /// Opens metrics in a registry of their own.
+    /// Creates the metrics in a new registry.
     ///
     /// # Errors
-    /// [`MetricsError`] where the exporter can't be set up.
+    /// [`MetricsError`] if the exporter can't be set up.
     pub fn open() -> Result<Self, MetricsError> {
         let (registry, provider) = open_registry()?;
         let m = provider.meter(METER);
         let c = |name, help| counter(&m, name, help);
         let g = |name, help| gauge(&m, name, help);
-        let h = |name, help, bounds| times(&m, name, help, bounds);
+        let h = |name, help, bounds| histogram(&m, name, help, bounds);
         Ok(Self {
             requests: c("bluebell_requests", "Requests by outcome."),
             tries: c(
@@ -185,16 +190,16 @@
         })
     }
 
-    /// The metrics as text.
+    /// Renders the metrics in the Prometheus text format.
     ///
     /// # Errors
-    /// [`MetricsError`] where they can't be written.
+    /// [`MetricsError`] if they can't be encoded.
     pub fn render(&self) -> Result<String, MetricsError> {
         let text = TextEncoder::new().encode_to_string(&self.registry.gather());
         text.map_err(MetricsError::from)
     }
 
-    /// Takes an event in.
+    /// Updates the metrics with an event.
     pub fn observe(&self, event: &Event) {
         match event {
             Event::Answered { .. } => self.observe_answer(event),
@@ -213,9 +218,9 @@
                 self.config_lag_ms.record(behind_ms.0 as f64, &[]);
             }
             Event::ConfigReadFailed { .. } => self.config_reads_failed.add(1, &[]),
-            Event::DirectoryLost { .. } => self.lost("directory"),
-            Event::ReplicaDoubted { .. } => self.lost("replica"),
-            Event::PeerLost { .. } => self.lost("peer"),
+            Event::DirectoryLost { .. } => self.count_loss("directory"),
+            Event::ReplicaDoubted { .. } => self.count_loss("replica"),
+            Event::PeerLost { .. } => self.count_loss("peer"),
             Event::ReplicaEnded { evidence, .. } => {
                 let evidence = label("evidence", evidence.as_str());
                 self.ended_replicas.add(1, &evidence);
@@ -238,19 +243,21 @@
         }
     }
 
-    /// Takes in how old the configuration in force and the newest known one are.
-    pub fn config_ages(&self, ages: &ConfigAges) {
+    /// Records the ages of the configuration in force and of the newest known one.
+    pub fn record_config_ages(&self, ages: &ConfigAges) {
         self.config_newest.record(ages.newest.0, &[]);
         self.config_age_ms.record(ages.in_force_ms.0, &[]);
         self.config_newest_age_ms.record(ages.newest_ms.0, &[]);
         self.config_behind_ms.record(ages.behind_ms.0, &[]);
     }
 
-    fn lost(&self, dependency: &'static str) {
+    /// Counts the loss of a dependency.
+    fn count_loss(&self, dependency: &'static str) {
         self.dependency_losses
             .add(1, &label("dependency", dependency));
     }
 
+    /// Counts an attempt, and records the waiting time before the first one.
     fn observe_try(&self, event: &Event) {
         let Event::Placed {
             attempt,
@@ -278,6 +285,7 @@
         }
     }
 
+    /// Counts an answer and records its times by length of the prompt.
     fn observe_answer(&self, event: &Event) {
         let Event::Answered {
             prompt_tokens,
--- a/crates/front/src/watch/shared.rs
+++ b/crates/front/src/watch/shared.rs
@@ -90,7 +90,7 @@
         let now_ms = node.now_ms();
         let mut freshness = self.freshness.borrow_mut();
         if let Some(ages) = freshness.ages(now_ms) {
-            node.journal.metrics().config_ages(&ages);
+            node.journal.metrics().record_config_ages(&ages);
         }
         if let Some(lag) = freshness.report(now_ms) {
             node.journal.record(&Event::ConfigBehind {
