--- a/crates/front/src/gossip/message.rs
+++ b/crates/front/src/gossip/message.rs
@@ -1,4 +1,4 @@
-//! The datagrams, encoded by `postcard`.
+//! The format of gossip datagrams, encoded with `postcard`.
 
 use super::DATAGRAM_BYTES;
 use super::replicas::ReplicasGossip;
@@ -9,28 +9,28 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The version of the format; datagrams of another are ignored, so that nodes of two releases can
-/// run beside each other.
+/// The version of the datagram format. Datagrams of any other version are ignored, so that nodes of
+/// two releases can run in one fleet.
 const FORMAT: u8 = 7;
 
-/// One datagram.
+/// A gossip datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct Datagram {
     format: u8,
-    /// Whether whoever gets it sends it on to all peers of its failure domain.
+    /// True if the receiver forwards the datagram to all peers of its own failure domain.
     pub pass_on: bool,
-    /// The node whose gossip it is, which isn't always the one that it comes from.
+    /// The node that wrote the gossip. A relay may have forwarded the datagram.
     pub origin: Origin,
-    /// What it tells.
+    /// The gossip that the datagram carries.
     pub gossip: Vec<Gossip>,
 }
 
-/// A node, as its datagrams name it.
+/// The sender of gossip, as its datagrams identify it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Origin {
-    /// Its run.
+    /// The id of this run of the node.
     pub owner: u64,
-    /// Where it takes gossip.
+    /// The address at which it receives gossip.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: Arc<str>,
@@ -39,57 +39,68 @@
 /// One piece of gossip.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) enum Gossip {
-    /// Work was placed.
+    /// The sender placed work on a replica.
     Placed(WorkGossip),
-    /// Work got further.
+    /// Events of work have begun to arrive. `late` is true if one of them was late.
     Stage { sequence: u32, late: bool },
-    /// Work has ended.
+    /// Work of the sender ended.
     Ended { sequence: u32 },
-    /// All work from `from` to `to` is in `works`.
+    /// A digest: `works` lists all of the sender's work with a sequence number from `from` to `to`,
+    /// both included.
     Digest {
         from: u32,
         to: u32,
         works: Vec<WorkGossip>,
     },
-    /// A replica failed and is doubted for so long.
+    /// A replica failed. The sender doubts it for `for_ms` milliseconds and sends it no work.
     Doubted { replica: u32, for_ms: u32 },
-    /// An engine takes this many hundredths of its configured time for its work.
+    /// The pace of an engine: the time that it takes for its work, in percent of the configured time.
     Pace { replica: u32, pace_pct: u32 },
-    /// A request ends replicas, or doesn't.
+    /// A change of what is known about a request that may be fatal to replicas.
     Request(QuarantineNotice),
-    /// A replica takes so many requests a second from all nodes together, or any number.
+    /// The requests per second that a replica accepts from all nodes together, or the end of that
+    /// limit.
     Limit(LimitGossip),
-    /// An answer of a replica says that it leaves.
+    /// A replica said in an answer that it is leaving.
     Leaving { replica: u32 },
-    /// The directory answers the sender again.
+    /// The directory answers the sender again after an outage.
     DirectoryBack,
-    /// The directory's history is another since.
+    /// The directory was renewed: it came back with a new history.
     Era(Era),
-    /// The sender has seen this version of the configuration.
+    /// The sender knows this version of the configuration.
     Config { version: u64 },
-    /// The sender has just read the directory's replicas.
+    /// The sender has just read the replica list from the directory.
     Replicas(ReplicasGossip),
 }
 
-/// Work, as peers need to know it.
+/// A piece of work in flight, with what peers need for their own placements.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct WorkGossip {
+    /// The sequence number of the work at its node.
     pub sequence: u32,
+    /// The engine that writes the answer.
     first: u32,
+    /// The engines that read parts of the prompt besides the first.
     helpers: Vec<u32>,
+    /// The memory reserved at other engines, in tokens.
     memory: Vec<(u32, u32)>,
+    /// The stage: 0 for reading, 1 for writing, 2 for late.
     stage: u8,
+    /// The time since the work was placed, in milliseconds.
     age_ms: u32,
     prompt_tokens: u32,
+    /// The time that a healthy engine takes to read its part of the prompt, in milliseconds.
     part_ms: f32,
+    /// The longest pause between two events that is on time, in milliseconds.
     gap_ms: u32,
-    /// From when the gossip was sent; below 0 where it is late.
+    /// The time from sending the gossip until the first event is due, in milliseconds. Negative if it
+    /// is late.
     due_in_ms: i32,
 }
 
 impl WorkGossip {
-    /// Describes own work.
-    pub fn of(sequence: u32, work: &Work, now_ms: MonoMs) -> Self {
+    /// Describes a piece of this node's own work.
+    pub fn from_work(sequence: u32, work: &Work, now_ms: MonoMs) -> Self {
         Self {
             sequence,
             first: work.first.0,
@@ -112,8 +123,8 @@
         }
     }
 
-    /// The work, by this node's clock.
-    pub fn work(&self, now_ms: MonoMs) -> Work {
+    /// Returns the work, with its instants converted to this node's clock.
+    pub fn to_work(&self, now_ms: MonoMs) -> Work {
         Work {
             first: ReplicaKey(self.first),
             helpers: self.helpers.iter().map(|key| ReplicaKey(*key)).collect(),
@@ -136,22 +147,25 @@
     }
 }
 
-/// What a replica said of its limit.
+/// The request rate limit that a replica set, or its end.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct LimitGossip {
     replica: u32,
+    /// The limit in requests per second from all nodes together. `None` if the limit ended.
     rate_per_s: Option<f64>,
+    /// The age of the replica's statement, in milliseconds.
     age_ms: u32,
+    /// True if the replica's answers to probes carry the limit as well.
     probes_name: bool,
 }
 
 impl From<LimitNotice> for LimitGossip {
-    fn from(told: LimitNotice) -> Self {
+    fn from(notice: LimitNotice) -> Self {
         Self {
-            replica: told.replica.0,
-            rate_per_s: told.rate.map(|rate| rate.0),
-            age_ms: told.age_ms.0.min(u64::from(u32::MAX)) as u32,
-            probes_name: told.probes_carry_limit,
+            replica: notice.replica.0,
+            rate_per_s: notice.rate.map(|rate| rate.0),
+            age_ms: notice.age_ms.0.min(u64::from(u32::MAX)) as u32,
+            probes_name: notice.probes_carry_limit,
         }
     }
 }
@@ -168,23 +182,24 @@
 }
 
 impl Datagram {
-    /// Reads a datagram; none where it isn't one of this format.
+    /// Decodes a datagram. Returns `None` if it is malformed or has another format version.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let datagram: Self = postcard::from_bytes(bytes).ok()?;
         (datagram.format == FORMAT).then_some(datagram)
     }
 
-    /// The bytes of a datagram that is to be passed on, or not.
+    /// Encodes the datagram. `pass_on` replaces the field of the same name.
     pub fn encode(&self, pass_on: bool) -> Vec<u8> {
         let datagram = Self {
             pass_on,
             ..self.clone()
         };
-        postcard::to_allocvec(&datagram).expect("plain data can be encoded")
+        postcard::to_allocvec(&datagram).expect("postcard can encode a datagram")
     }
 }
 
-/// Packs gossip into as few datagrams as fit.
+/// Packs gossip into datagrams of at most [`DATAGRAM_BYTES`] bytes, by halving it until each part
+/// fits. A single piece of gossip is never split.
 pub(super) fn pack(origin: &Origin, gossip: Vec<Gossip>) -> Vec<Datagram> {
     let whole = Datagram {
         format: FORMAT,
@@ -202,16 +217,16 @@
     packed
 }
 
-/// How many pieces of work a digest holds at most: each takes up to 100 bytes with all helpers.
-const DIGEST_WORKS: usize = 12;
+/// The maximum number of pieces of work in one digest. Each takes up to 100 bytes with all helpers.
+const MAX_DIGEST_WORKS: usize = 12;
 
-/// Makes the digest of all own work, in parts that fit a datagram each.
+/// Builds the digest of all of this node's work, in parts that each fit one datagram.
 pub(super) fn digest(mut works: Vec<WorkGossip>) -> Vec<Gossip> {
     works.sort_unstable_by_key(|work| work.sequence);
     let mut parts: Vec<Gossip> = Vec::new();
     let mut from = 0;
-    while works.len() > DIGEST_WORKS {
-        let rest = works.split_off(DIGEST_WORKS);
+    while works.len() > MAX_DIGEST_WORKS {
+        let rest = works.split_off(MAX_DIGEST_WORKS);
         let to = rest[0].sequence - 1;
         parts.push(Gossip::Digest { from, to, works });
         from = to + 1;
--- a/crates/front/src/gossip/mod.rs
+++ b/crates/front/src/gossip/mod.rs
@@ -1,15 +1,15 @@
-//! What nodes tell each other: the work that each has placed on engines, so that all place theirs
-//! around it.
+//! Gossip between nodes. Each node reports the work that it has placed on engines, so that the others
+//! take it into account in their own placements.
 //!
-//! Terms: *gossip* is one change; a *digest* lists all of a node's work, so that lost gossip is made up
-//! for; a *peer* is a node that was heard of.
+//! Terms: a piece of *gossip* reports one change; a *digest* lists all of a node's work and makes up
+//! for lost gossip; a *peer* is another node that this one knows of.
 //!
-//! Invariants: gossip is advice only, and a node that hears nobody serves all the same; a datagram
-//! that can't be read changes nothing.
+//! Invariants: gossip is advisory, so a node that receives none serves requests all the same; a
+//! datagram that can't be decoded changes nothing.
 //!
-//! Load pattern: a burst of requests arrives at all nodes at once; a node that doesn't know what the
-//! others have just placed sends its own to the same engines. So gossip goes out at once, gathered
-//! over [`GATHER_MS`] only.
+//! Load pattern: a burst of requests arrives at all nodes at once. A node that doesn't know what the
+//! others have just placed sends its own work to the same engines. Gossip is therefore sent at once,
+//! gathered only for [`GATHER_MS`].
 
 mod message;
 mod outbox;
@@ -23,15 +23,17 @@
 
 use bluebell_base::prelude::*;
 
-/// How long gossip is gathered into one datagram. Peers are a few ms apart, so less would hardly make
-/// it fresher.
+/// The time for which urgent gossip is gathered into one datagram. Peers are a few ms apart, so a
+/// shorter time would hardly make it fresher.
 const GATHER_MS: SpanMs = SpanMs(2);
 
-/// How long a silent peer counts as there: two digests and more, of which one may be lost.
+/// The silence after which a peer no longer counts as live. It spans more than two digests, one of
+/// which may be lost.
 const PEER_SILENT_MS: SpanMs = SpanMs(2_500);
 
-/// How long a silent peer still gets digests, so that a cut that heals is noticed on both sides.
+/// The silence after which a peer is forgotten. Until then it still gets digests, so that both sides
+/// notice when a network partition heals.
 const PEER_FORGOTTEN_MS: SpanMs = SpanMs(60_000);
 
-/// The largest datagram that passes links unbroken.
+/// The size in bytes of the largest datagram that links carry without fragmentation.
 const DATAGRAM_BYTES: usize = 1_350;
--- a/crates/front/src/gossip/outbox.rs
+++ b/crates/front/src/gossip/outbox.rs
@@ -1,4 +1,4 @@
-//! Gossip that waits to be sent, and the peers that get it.
+//! Queued gossip, and the table of peers to which it is sent.
 
 use super::message::{Gossip, Origin};
 use super::{PEER_FORGOTTEN_MS, PEER_SILENT_MS};
@@ -13,77 +13,82 @@
 use std::net::SocketAddr;
 use tokio::sync::Notify;
 
-/// A peer.
+/// What is known of a peer.
 #[derive(Clone, Debug)]
 struct Peer {
     address: SocketAddr,
     domain: Option<DomainName>,
-    heard_ms: MonoMs,
+    received_ms: MonoMs,
     presence: Presence,
-    /// The newest version of the configuration that it named.
+    /// The newest version of the configuration that the peer has announced.
     config: Option<ConfigVersion>,
 }
 
 impl Peer {
-    fn is_there(&self) -> bool {
+    /// Returns true if gossip of the peer was received recently.
+    fn is_live(&self) -> bool {
         self.presence == Presence::Live
     }
 }
 
-/// What a change in the peers was.
+/// The effect of received gossip on the peer table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PeerEvent {
-    /// Wasn't known or was silent.
+    /// The peer was unknown or silent.
     Found,
-    /// Was there already.
+    /// The peer was already live.
     Known,
 }
 
-/// Gossip that waits, and the peers.
+/// The queue of gossip to send, and the peer table.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    waiting: RefCell<Vec<Gossip>>,
+    queued: RefCell<Vec<Gossip>>,
     peers: RefCell<FxHashMap<OwnerId, Peer>>,
-    /// Something waits that peers must hear at once.
+    /// Notified when gossip is queued that must be sent at once.
     pub(super) urgent: Notify,
-    /// Something waits that may be gathered for longer.
-    pub(super) patient: Notify,
+    /// Notified when gossip is queued that may be gathered for longer.
+    pub(super) deferred: Notify,
 }
 
 impl Outbox {
+    /// Queues gossip that must be sent at once.
     fn push(&self, gossip: Gossip) {
-        self.waiting.borrow_mut().push(gossip);
+        self.queued.borrow_mut().push(gossip);
         self.urgent.notify_one();
     }
 
-    fn push_patient(&self, gossip: Gossip) {
-        self.waiting.borrow_mut().push(gossip);
-        self.patient.notify_one();
+    /// Queues gossip that may be gathered for longer.
+    fn push_deferred(&self, gossip: Gossip) {
+        self.queued.borrow_mut().push(gossip);
+        self.deferred.notify_one();
     }
 
-    /// Tells that work was placed.
+    /// Queues gossip that work was placed.
     pub fn placed(&self, sequence: u32, work: &Work, now_ms: MonoMs) {
-        let gossip = super::message::WorkGossip::of(sequence, work, now_ms);
+        let gossip = super::message::WorkGossip::from_work(sequence, work, now_ms);
         self.push(Gossip::Placed(gossip));
     }
 
-    /// Tells that work writes, on time or late. Of a prompt that one engine read that goes along with
-    /// whatever is told next: peers reckon when it is read, and are seldom far off.
+    /// Queues gossip that events of work have begun to arrive, on time or late.
+    ///
+    /// For a prompt that a single engine read (`shared` is false) it is sent along with the next
+    /// gossip: peers estimate when the prompt is read, and are seldom far off.
     pub fn stage(&self, sequence: u32, stage: Stage, shared: bool) {
         let late = stage == Stage::Late;
         let gossip = Gossip::Stage { sequence, late };
         match shared {
-            true => self.push_patient(gossip),
-            false => self.waiting.borrow_mut().push(gossip),
+            true => self.push_deferred(gossip),
+            false => self.queued.borrow_mut().push(gossip),
         }
     }
 
-    /// Tells that work has ended.
+    /// Queues gossip that work ended.
     pub fn ended(&self, sequence: u32) {
-        self.push_patient(Gossip::Ended { sequence });
+        self.push_deferred(Gossip::Ended { sequence });
     }
 
-    /// Tells that a replica is doubted.
+    /// Queues gossip that this node doubts a failed replica for `for_ms`.
     pub fn doubted(&self, key: ReplicaKey, for_ms: SpanMs) {
         self.push(Gossip::Doubted {
             replica: key.0,
@@ -91,7 +96,7 @@
         });
     }
 
-    /// Tells how slow an engine is.
+    /// Queues gossip of an engine's pace.
     pub fn pace(&self, key: ReplicaKey, pace: Pace) {
         self.push(Gossip::Pace {
             replica: key.0,
@@ -99,77 +104,77 @@
         });
     }
 
-    /// Tells what is known of a request that ends replicas.
-    pub fn request(&self, told: QuarantineNotice) {
-        self.push(Gossip::Request(told));
+    /// Queues a notice about a request that may be fatal to replicas.
+    pub fn request(&self, notice: QuarantineNotice) {
+        self.push(Gossip::Request(notice));
     }
 
-    /// Tells what a replica said of its limit.
-    pub fn limit(&self, told: LimitNotice) {
-        self.push(Gossip::Limit(told.into()));
+    /// Queues a notice of the request rate limit that a replica set, or of its end.
+    pub fn limit(&self, notice: LimitNotice) {
+        self.push(Gossip::Limit(notice.into()));
     }
 
-    /// Notifies peers that an answer of a replica says that it leaves.
+    /// Queues gossip that a replica said in an answer that it is leaving.
     pub fn leaving(&self, key: ReplicaKey) {
         self.push(Gossip::Leaving { replica: key.0 });
     }
 
-    /// Notifies peers that the directory answers again.
+    /// Queues gossip that the directory answers again after an outage.
     pub fn directory_back(&self) {
         self.push(Gossip::DirectoryBack);
     }
 
-    /// Tells that the directory's history is another.
+    /// Queues gossip that the directory was renewed.
     pub fn era(&self, era: Era) {
         self.push(Gossip::Era(era));
     }
 
-    /// Tells which configuration is known.
+    /// Queues gossip of the newest configuration version that this node knows.
     pub fn config(&self, version: ConfigVersion) {
         self.push(Gossip::Config { version: version.0 });
     }
 
-    /// Tells that the directory's replicas were read.
-    pub fn replicas(&self, told: ReplicasNotice) {
-        self.push(Gossip::Replicas(told.into()));
+    /// Queues a notice that this node has read the replica list from the directory.
+    pub fn replicas(&self, notice: ReplicasNotice) {
+        self.push(Gossip::Replicas(notice.into()));
     }
 
-    /// How many peers are there now.
+    /// Returns the number of live peers.
     pub fn live_peer_count(&self) -> usize {
         self.peers
             .borrow()
             .values()
-            .filter(|peer| peer.is_there())
+            .filter(|peer| peer.is_live())
             .count()
     }
 
-    /// The peers that are there now.
+    /// Returns the live peers.
     pub fn live_peers(&self) -> Vec<OwnerId> {
         let peers = self.peers.borrow();
-        let there = peers.iter().filter(|(_, peer)| peer.is_there());
-        there.map(|(owner, _)| *owner).collect()
+        let live = peers.iter().filter(|(_, peer)| peer.is_live());
+        live.map(|(owner, _)| *owner).collect()
     }
 
-    /// A peer has this version of the configuration.
-    pub(super) fn has_config(&self, owner: OwnerId, version: ConfigVersion) {
+    /// Records that a peer has this version of the configuration.
+    pub(super) fn note_config(&self, owner: OwnerId, version: ConfigVersion) {
         if let Some(peer) = self.peers.borrow_mut().get_mut(&owner) {
             peer.config = peer.config.max(Some(version));
         }
     }
 
-    /// The peers of a failure domain that are there now.
-    pub fn owners_in(&self, domain: &DomainName) -> Vec<OwnerId> {
+    /// Returns the live peers in a failure domain.
+    pub fn live_peers_in(&self, domain: &DomainName) -> Vec<OwnerId> {
         let peers = self.peers.borrow();
-        let there = peers
+        let live = peers
             .iter()
-            .filter(|(_, peer)| peer.is_there() && peer.domain.as_ref() == Some(domain));
-        there.map(|(owner, _)| *owner).collect()
+            .filter(|(_, peer)| peer.is_live() && peer.domain.as_ref() == Some(domain));
+        live.map(|(owner, _)| *owner).collect()
     }
 
-    /// How many peers of each failure domain are there now.
+    /// Returns the number of live peers by failure domain.
     pub fn domain_sizes(&self) -> FxHashMap<DomainName, usize> {
         let mut sizes = FxHashMap::default();
-        for peer in self.peers.borrow().values().filter(|peer| peer.is_there()) {
+        for peer in self.peers.borrow().values().filter(|peer| peer.is_live()) {
             if let Some(domain) = &peer.domain {
                 *sizes.entry(domain.clone()).or_insert(0) += 1;
             }
@@ -177,27 +182,32 @@
         sizes
     }
 
-    /// Where a peer is asked for what it holds.
+    /// Returns the address of a peer, for gossip by datagram and for copies by connection.
     pub fn address_of(&self, owner: OwnerId) -> Option<SocketAddr> {
         self.peers.borrow().get(&owner).map(|peer| peer.address)
     }
 
-    /// The peers that are there and have a newer configuration than `held`.
-    pub fn holders(&self, held: ConfigVersion) -> Vec<OwnerId> {
+    /// Returns the live peers that have a newer configuration than `held`.
+    pub fn config_holders(&self, held: ConfigVersion) -> Vec<OwnerId> {
         let peers = self.peers.borrow();
         let holders = peers
             .iter()
-            .filter(|(_, peer)| peer.is_there() && peer.config > Some(held));
+            .filter(|(_, peer)| peer.is_live() && peer.config > Some(held));
         holders.map(|(owner, _)| *owner).collect()
     }
 
-    /// Takes what waits.
+    /// Takes all queued gossip.
     pub(super) fn take(&self) -> Vec<Gossip> {
-        std::mem::take(&mut self.waiting.borrow_mut())
+        std::mem::take(&mut self.queued.borrow_mut())
     }
 
-    /// Where gossip goes that `own` tells, and whether it is passed on there.
-    pub(super) fn copies(&self, own: &Origin, gossip_kind: GossipKind) -> Vec<(SocketAddr, bool)> {
+    /// Returns the addresses to which gossip of `own` is sent. The flag is true if the receiver is to
+    /// forward it.
+    pub(super) fn destinations(
+        &self,
+        own: &Origin,
+        gossip_kind: GossipKind,
+    ) -> Vec<(SocketAddr, bool)> {
         let peers = self.peers.borrow();
         let gossip_peers: Vec<GossipPeer> = peers
             .iter()
@@ -218,24 +228,24 @@
         copies.collect()
     }
 
-    /// The peers of a failure domain to which the gossip of `origin` is passed on.
+    /// Returns the addresses of the peers in a failure domain to which gossip of `origin` is forwarded.
     pub(super) fn addresses_in(&self, domain: &DomainName, origin: OwnerId) -> Vec<SocketAddr> {
         let peers = self.peers.borrow();
-        let there = peers
+        let others = peers
             .iter()
             .filter(|(owner, peer)| **owner != origin && peer.domain.as_ref() == Some(domain));
-        there.map(|(_, peer)| peer.address).collect()
+        others.map(|(_, peer)| peer.address).collect()
     }
 
-    /// Gossip of a peer came, from itself or through another.
-    pub(super) fn heard(&self, origin: &Origin, now_ms: MonoMs) -> PeerEvent {
+    /// Records that gossip of a peer was received, directly or through a relay.
+    pub(super) fn on_received(&self, origin: &Origin, now_ms: MonoMs) -> PeerEvent {
         let owner = OwnerId(origin.owner);
         let mut peers = self.peers.borrow_mut();
-        let known = peers.get(&owner).is_some_and(Peer::is_there);
+        let known = peers.get(&owner).is_some_and(Peer::is_live);
         let peer = Peer {
             address: origin.address,
             domain: Some(DomainName(origin.domain.clone())),
-            heard_ms: now_ms,
+            received_ms: now_ms,
             presence: Presence::Live,
             config: peers.get(&owner).and_then(|peer| peer.config),
         };
@@ -246,26 +256,28 @@
         }
     }
 
-    /// A node's announcement was read; it counts as there only once it is heard.
+    /// Records a node that announced itself in the directory. It counts as live only once its gossip
+    /// is received.
     pub fn on_announced(&self, owner: OwnerId, address: SocketAddr, now_ms: MonoMs) {
         let mut peers = self.peers.borrow_mut();
         peers.entry(owner).or_insert(Peer {
             address,
             domain: None,
-            heard_ms: now_ms,
+            received_ms: now_ms,
             presence: Presence::Announced,
             config: None,
         });
     }
 
-    /// Marks silent peers, and forgets those silent for long; returns the newly silent.
+    /// Marks peers as silent after [`PEER_SILENT_MS`] and forgets them after [`PEER_FORGOTTEN_MS`].
+    /// Returns the newly silent peers with the duration of their silence.
     pub(super) fn expire(&self, now_ms: MonoMs) -> Vec<(OwnerId, SpanMs)> {
         let mut peers = self.peers.borrow_mut();
-        peers.retain(|_, peer| now_ms.since(peer.heard_ms) < PEER_FORGOTTEN_MS);
+        peers.retain(|_, peer| now_ms.since(peer.received_ms) < PEER_FORGOTTEN_MS);
         let mut lost = Vec::new();
         for (owner, peer) in peers.iter_mut() {
-            let silent_ms = now_ms.since(peer.heard_ms);
-            if peer.is_there() && silent_ms > PEER_SILENT_MS {
+            let silent_ms = now_ms.since(peer.received_ms);
+            if peer.is_live() && silent_ms > PEER_SILENT_MS {
                 peer.presence = Presence::Silent;
                 lost.push((*owner, silent_ms));
             }
@@ -273,8 +285,8 @@
         lost
     }
 
-    /// How many peers are known, there or not: those that were cut off take their part of shared
-    /// limits as well.
+    /// Returns the number of known peers, live or not. Peers that are cut off still use their share of
+    /// limits that all nodes share.
     pub fn peer_count(&self) -> usize {
         self.peers.borrow().len()
     }
--- a/crates/front/src/gossip/receive.rs
+++ b/crates/front/src/gossip/receive.rs
@@ -1,4 +1,4 @@
-//! Taking gossip in.
+//! Receives gossip and applies it to the node's state.
 
 use super::message::{Datagram, Gossip, WorkGossip};
 use super::outbox::PeerEvent;
@@ -12,40 +12,43 @@
 use std::time::Duration;
 use tokio::net::UdpSocket;
 
-/// The largest datagram that is read; longer ones are cut and then can't be read.
-const LARGEST_BYTES: usize = 2_048;
+/// The size of the receive buffer, in bytes. Longer datagrams are truncated and can't be decoded.
+const RECEIVE_BUFFER_BYTES: usize = 2_048;
 
-/// The pause after an error of receiving, which stems from an earlier send to a port that is closed.
+/// The pause after a receive error. Such errors stem from an earlier send to a closed port.
 const ERROR_PAUSE_MS: SpanMs = SpanMs(1);
 
-/// The longest time that a peer's doubt counts.
-const LONGEST_DOUBT_MS: u32 = 8_000;
+/// The maximum time in milliseconds for which a replica is doubted because a peer reported its failure.
+const MAX_PEER_DOUBT_MS: u32 = 8_000;
 
-/// Takes gossip in until the process ends.
+/// Receives and applies gossip until the process ends.
 pub async fn receive(node: Rc<Node>, socket: Rc<UdpSocket>) {
-    let mut buffer = vec![0; LARGEST_BYTES];
+    let mut buffer = vec![0; RECEIVE_BUFFER_BYTES];
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((length, from)) => {
                 let Some(datagram) = Datagram::decode(&buffer[..length]) else {
-                    log::debug!("a datagram from {from} can't be read");
+                    log::debug!(
+                        "ignoring a datagram from {from}: malformed or of another format version"
+                    );
                     continue;
                 };
                 if datagram.pass_on {
-                    pass_on(&node, &socket, &datagram);
+                    forward(&node, &socket, &datagram);
                 }
-                take_in(&node, datagram);
+                apply_datagram(&node, datagram);
             }
             Err(error) => {
-                log::trace!("can't receive gossip: {error}");
+                log::trace!("failed to receive gossip: {error}");
                 tokio::time::sleep(Duration::from(ERROR_PAUSE_MS)).await;
             }
         }
     }
 }
 
-/// Sends a peer's gossip on to the other nodes of this failure domain, once: they don't send it on.
-fn pass_on(node: &Node, socket: &UdpSocket, datagram: &Datagram) {
+/// Forwards a peer's gossip to the other nodes of this failure domain, which don't forward it
+/// again.
+fn forward(node: &Node, socket: &UdpSocket, datagram: &Datagram) {
     let origin = OwnerId(datagram.origin.owner);
     let bytes = datagram.encode(false);
     for address in node.outbox.addresses_in(&node.settings.domain, origin) {
@@ -53,13 +56,14 @@
     }
 }
 
-fn take_in(node: &Rc<Node>, datagram: Datagram) {
+/// Updates the peer table with the sender of a datagram, and applies its gossip.
+fn apply_datagram(node: &Rc<Node>, datagram: Datagram) {
     let owner = OwnerId(datagram.origin.owner);
     if owner == node.owner {
         return;
     }
     let now_ms = node.now_ms();
-    if node.outbox.heard(&datagram.origin, now_ms) == PeerEvent::Found {
+    if node.outbox.on_received(&datagram.origin, now_ms) == PeerEvent::Found {
         node.journal.record(&Event::PeerFound {
             incarnation: owner.0,
         });
@@ -69,29 +73,31 @@
     }
 }
 
+/// Applies one piece of gossip.
 fn apply(node: &Rc<Node>, owner: OwnerId, gossip: Gossip, now_ms: MonoMs) {
     match gossip {
         Gossip::Config { version } => {
             let version = ConfigVersion(version);
-            node.outbox.has_config(owner, version);
+            node.outbox.note_config(owner, version);
             node.directory_watch.on_peer_config(node, owner, version);
         }
-        Gossip::Replicas(told) => node.directory_watch.on_peer_replicas(node, told.into()),
-        Gossip::Request(told) => quarantine::on_notified(node, told),
+        Gossip::Replicas(notice) => node.directory_watch.on_peer_replicas(node, notice.into()),
+        Gossip::Request(notice) => quarantine::on_notified(node, notice),
         Gossip::Era(era) => watch::on_notified_era(node, era),
-        Gossip::Limit(told) => limits::on_notified(node, &told.into()),
+        Gossip::Limit(notice) => limits::on_notified(node, &notice.into()),
         Gossip::DirectoryBack => node.directory_watch.on_peer_directory_back(),
         Gossip::Leaving { replica } => signals::on_notified(node, ReplicaKey(replica)),
         gossip => apply_work(node, owner, gossip, now_ms),
     }
 }
 
+/// Applies gossip about work, doubted replicas and paces.
 fn apply_work(node: &Node, owner: OwnerId, gossip: Gossip, now_ms: MonoMs) {
     let id = |sequence| WorkId { owner, sequence };
     node.with(|state| match gossip {
         Gossip::Placed(work) => state
             .ledger
-            .put(id(work.sequence), work.work(now_ms), now_ms),
+            .put(id(work.sequence), work.to_work(now_ms), now_ms),
         Gossip::Stage { sequence, late } => {
             let stage = if late { Stage::Late } else { Stage::Writing };
             state.ledger.set_stage(id(sequence), stage);
@@ -101,7 +107,7 @@
             apply_digest(state, owner, (from, to), &works, now_ms)
         }
         Gossip::Doubted { replica, for_ms } => {
-            let until_ms = now_ms + SpanMs(u64::from(for_ms.min(LONGEST_DOUBT_MS)));
+            let until_ms = now_ms + SpanMs(u64::from(for_ms.min(MAX_PEER_DOUBT_MS)));
             if let Some(health) = state.replicas.health_mut(ReplicaKey(replica)) {
                 health.on_peer_doubt(until_ms);
             }
@@ -120,6 +126,7 @@
     });
 }
 
+/// Replaces the peer's known work in the range of a digest by the work that the digest lists.
 fn apply_digest(
     state: &mut crate::node::State,
     owner: OwnerId,
@@ -135,6 +142,6 @@
         let sequence = work.sequence;
         state
             .ledger
-            .put(WorkId { owner, sequence }, work.work(now_ms), now_ms);
+            .put(WorkId { owner, sequence }, work.to_work(now_ms), now_ms);
     }
 }
--- a/crates/front/src/gossip/replicas.rs
+++ b/crates/front/src/gossip/replicas.rs
@@ -1,4 +1,4 @@
-//! What a datagram tells of the replicas that the directory lists.
+//! The encoding of notices about the directory's replica list.
 
 use crate::platform::Cursor;
 use crate::watch::ReplicasNotice;
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What a node has just read of the replicas.
+/// A notice that the sender has just read the replica list, with the changes that it found.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct ReplicasGossip {
     cursor: Cursor,
@@ -16,10 +16,10 @@
     changes: Vec<ChangeGossip>,
 }
 
-/// A change of one replica.
+/// A change to one replica's entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 enum ChangeGossip {
-    /// It is listed so.
+    /// The replica is listed with these properties.
     Listed {
         instance: Arc<str>,
         started: ReplicaStart,
@@ -29,19 +29,23 @@
         slots: u32,
         ready: bool,
     },
-    /// Its entry is gone.
+    /// The entry of this instance was removed.
     Removed(Arc<str>),
-    /// An older copy of the directory lacks it.
+    /// The directory came back from an older copy that lacks this instance.
     Missing(Arc<str>),
 }
 
 impl From<ReplicasNotice> for ReplicasGossip {
-    fn from(told: ReplicasNotice) -> Self {
+    fn from(notice: ReplicasNotice) -> Self {
         Self {
-            cursor: told.cursor,
-            before: told.before,
-            after: told.after,
-            changes: told.changes.into_iter().filter_map(change_gossip).collect(),
+            cursor: notice.cursor,
+            before: notice.before,
+            after: notice.after,
+            changes: notice
+                .changes
+                .into_iter()
+                .filter_map(change_gossip)
+                .collect(),
         }
     }
 }
@@ -57,7 +61,8 @@
     }
 }
 
-/// What peers are told of a change; nothing of an entry that can't be read, which changes no table.
+/// Converts a change for sending. Returns `None` for an unreadable entry, which changes no node's
+/// table.
 fn change_gossip(change: ReplicaChange) -> Option<ChangeGossip> {
     match change {
         ReplicaChange::Unreadable { .. } => None,
--- a/crates/front/src/gossip/send.rs
+++ b/crates/front/src/gossip/send.rs
@@ -1,4 +1,4 @@
-//! Sending gossip.
+//! Sends queued gossip and periodic digests.
 
 use super::GATHER_MS;
 use super::message::{Gossip, Origin, WorkGossip, digest, pack};
@@ -12,13 +12,13 @@
 use tokio::net::UdpSocket;
 use tokio::time::Instant;
 
-/// Sends gossip as it comes, and a digest from time to time.
+/// Sends queued gossip, and a digest at regular intervals, until the process ends.
 pub async fn send(node: Rc<Node>, socket: Rc<UdpSocket>) {
     let mut digest_at = Instant::now();
     loop {
         tokio::select! {
             () = node.outbox.urgent.notified() => gather().await,
-            () = node.outbox.patient.notified() => tokio::select! {
+            () = node.outbox.deferred.notified() => tokio::select! {
                 () = node.outbox.urgent.notified() => gather().await,
                 () = tokio::time::sleep(Duration::from(batch_delay(node.outbox.peer_count()))) => {}
             },
@@ -37,20 +37,22 @@
     }
 }
 
+/// Waits for [`GATHER_MS`], while more gossip is queued.
 async fn gather() {
     tokio::time::sleep(Duration::from(GATHER_MS)).await;
 }
 
+/// Builds this node's digest, together with the notices that are repeated for peers that missed them.
 fn own_digest(node: &Node) -> Vec<Gossip> {
     let now_ms = node.now_ms();
-    let tells = notify_chance(node);
+    let chance = notify_chance(node);
     limits::update_shares(node);
     let (works, version, requests, limits, leaving_replicas) = node.with(|state| {
         let own = state.ledger.of_owner(node.owner);
-        let works = own.map(|(sequence, work)| WorkGossip::of(sequence, work, now_ms));
+        let works = own.map(|(sequence, work)| WorkGossip::from_work(sequence, work, now_ms));
         let version = state.config.as_ref().map(|c| c.version());
         let again = state.quarantine.repeated_notices(now_ms);
-        let draw = || rand::random_bool(tells);
+        let draw = || rand::random_bool(chance);
         let quarantined = state.quarantine.quarantine_notices(now_ms, draw);
         let requests = again.into_iter().chain(quarantined);
         let limits = state.limits.repeated_notices(now_ms);
@@ -67,7 +69,11 @@
         gossip.push(Gossip::Config { version: version.0 });
     }
     gossip.extend(requests);
-    gossip.extend(limits.into_iter().map(|told| Gossip::Limit(told.into())));
+    gossip.extend(
+        limits
+            .into_iter()
+            .map(|notice| Gossip::Limit(notice.into())),
+    );
     gossip.extend(
         leaving_replicas
             .into_iter()
@@ -76,40 +82,43 @@
     gossip
 }
 
-/// By how many nodes each request in quarantine is told with each round of digests: enough that one
-/// which missed it hears of it within the three seconds after which it must be known.
-const TOLD_BY: f64 = 8.0;
+/// The average number of nodes that repeat each request in quarantine with every round of digests.
+/// A node that missed the first notice then receives one within the three seconds after which the
+/// request must be known.
+const QUARANTINE_NOTIFIERS: f64 = 8.0;
 
-/// The chance with which this node tells a request in quarantine with a digest. If all nodes told all
-/// of them, 300 nodes and sixteen requests would be 120 KB/s at each node.
+/// Returns the probability with which this node repeats a request in quarantine with a digest. If all
+/// nodes repeated all of them, 300 nodes and sixteen requests would cost 120 KB/s at each node.
 fn notify_chance(node: &Node) -> f64 {
-    (TOLD_BY / node.node_count() as f64).min(1.0)
+    (QUARANTINE_NOTIFIERS / node.node_count() as f64).min(1.0)
 }
 
+/// Sends gossip to all peers, directly or through relays.
 fn send_to_all(node: &Node, socket: &UdpSocket, gossip: Vec<Gossip>, gossip_kind: GossipKind) {
     let origin = origin(node);
-    let copies = node.outbox.copies(&origin, gossip_kind);
-    if copies.is_empty() {
+    let destinations = node.outbox.destinations(&origin, gossip_kind);
+    if destinations.is_empty() {
         return;
     }
     for datagram in pack(&origin, gossip) {
-        let for_one = datagram.encode(false);
-        let for_many = datagram.encode(true);
-        for (address, pass_on) in &copies {
-            let bytes = if *pass_on { &for_many } else { &for_one };
+        let direct = datagram.encode(false);
+        let relayed = datagram.encode(true);
+        for (address, pass_on) in &destinations {
+            let bytes = if *pass_on { &relayed } else { &direct };
             send_one(socket, bytes, *address);
         }
     }
 }
 
-/// Datagrams are sent without waiting: one that finds the link full is late gossip.
+/// Sends a datagram without waiting. If the socket's buffer is full the datagram is dropped, since
+/// its gossip would be late.
 pub(super) fn send_one(socket: &UdpSocket, bytes: &[u8], address: SocketAddr) {
     if let Err(error) = socket.try_send_to(bytes, address) {
-        log::trace!("gossip for {address} is dropped: {error}");
+        log::trace!("dropped a gossip datagram for {address}: {error}");
     }
 }
 
-/// How this node names itself.
+/// Returns this node's identity, as its datagrams carry it.
 fn origin(node: &Node) -> Origin {
     Origin {
         owner: node.owner.0,
@@ -118,6 +127,7 @@
     }
 }
 
+/// Drops the work of peers that fell silent, and logs their loss.
 fn drop_silent(node: &Node) {
     let lost = node.outbox.expire(node.now_ms());
     for (owner, silent_ms) in lost {
--- a/crates/front/src/watch/follow.rs
+++ b/crates/front/src/watch/follow.rs
@@ -30,7 +30,7 @@
     if !long_poll::can_rely_on_peers(node.outbox.live_peer_count()) {
         return None;
     }
-    let peers = node.outbox.owners_in(&node.settings.domain);
+    let peers = node.outbox.live_peers_in(&node.settings.domain);
     match distribution::role(node.owner, &peers) {
         ConfigRole::Reader => None,
         ConfigRole::Follower(parent) => Some(parent),
@@ -83,7 +83,7 @@
 
 /// The peers to ask, in this order: the parent, which may be about to have it, and some that have it.
 fn sources(node: &Node, parent: OwnerId, held: ConfigVersion) -> Vec<OwnerId> {
-    let mut holders = node.outbox.holders(held);
+    let mut holders = node.outbox.config_holders(held);
     holders.retain(|holder| *holder != parent);
     holders.shuffle(&mut rand::rng());
     holders.truncate(OTHER_SOURCES);
