--- a/crates/front/src/copies/serve.rs
+++ b/crates/front/src/copies/serve.rs
@@ -62,11 +62,11 @@
     let has_newer = || node.config_version() > Some(held);
     let newer = async {
         loop {
-            let learned = node.directory_watch.learned.notified();
+            let data_changed = node.directory_watch.data_changed.notified();
             if has_newer() {
                 return;
             }
-            learned.await;
+            data_changed.await;
         }
     };
     let in_time = tokio::time::timeout(Duration::from(HOLD_MS), newer).await;
--- a/crates/front/src/node/state.rs
+++ b/crates/front/src/node/state.rs
@@ -128,7 +128,7 @@
     /// The list of replicas has been read.
     pub fn on_replicas_read(&self) {
         self.replicas_read.set(true);
-        self.directory_watch.learned.notify_waiters();
+        self.directory_watch.data_changed.notify_waiters();
     }
 
     /// Whether the node has read what it needs to serve.
@@ -140,11 +140,11 @@
     /// Ends once the node has read what it needs to serve.
     pub async fn wait_until_initialized(&self) {
         loop {
-            let learned = self.directory_watch.learned.notified();
+            let data_changed = self.directory_watch.data_changed.notified();
             if self.is_initialized() {
                 return;
             }
-            learned.await;
+            data_changed.await;
         }
     }
 
--- a/crates/front/src/watch/config.rs
+++ b/crates/front/src/watch/config.rs
@@ -1,15 +1,15 @@
-//! The configuration in force.
+//! Keeps the configuration in force up to date.
 //!
-//! Load pattern: operators write several versions a second for some seconds, and all nodes have an
-//! open read that each of them ends; peers tell of a version at the moment at which the own read
-//! is about to.
+//! Load pattern: operators write several versions a second for some seconds, and each version ends the
+//! long poll that every node holds open. Peers announce a version at about the time at which the
+//! node's own poll returns it.
 //!
-//! Reason for the limits: a node that reads on a moment later takes several versions in one read,
-//! and one that lets its own read end first needs no second one. In each failure domain a few nodes
-//! read and the others copy from them.
+//! Reason for the limits: a node that pauses briefly before its next read gets several versions in one
+//! read, and a node that lets its own poll finish first needs no second read. In each failure domain a
+//! few nodes read the directory and the others copy from them.
 
 use super::era;
-use super::follow::{self, Followed};
+use super::follow::{self, FollowResult};
 use super::retry::Backoff;
 use crate::copies::ConfigCopy;
 use crate::journal::Event;
@@ -24,38 +24,38 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a node lets its own read end after a peer told of a newer version. A read that is still
-/// open then is behind a silent connection.
-const OWN_READ_MS: SpanMs = SpanMs(250);
+/// The time that a node's own long poll gets to return after a peer announced a newer version. A poll
+/// that is still open then is on a silent connection.
+const POLL_GRACE_MS: SpanMs = SpanMs(250);
 
-/// The pause after a version was taken: a quarter of the two seconds in which the next must be in
-/// force.
-const GATHER_MS: SpanMs = SpanMs(500);
+/// The pause after a version was read, in which further versions gather: a quarter of the two seconds
+/// within which a version must be in force.
+const READ_PAUSE_MS: SpanMs = SpanMs(500);
 
-/// After how long without an answer the first configuration is asked for again: a sound directory
-/// answers within some ms, one that is slow within some hundred.
-const AGAIN_MS: SpanMs = SpanMs(400);
+/// The time without an answer after which a node sends another read for its first configuration. A
+/// healthy directory answers within a few ms, a slow one within a few hundred ms.
+const FIRST_READ_RETRY_MS: SpanMs = SpanMs(400);
 
-/// How long a node waits at most for a configuration as new as its peers': what a peer tells may be
-/// wrong, and must not keep the node from serving.
-const LONGEST_HELD_BACK_MS: SpanMs = SpanMs(5_000);
+/// The maximum time for which a node waits for a configuration as new as its peers'. What a peer
+/// announces may be wrong, and must not keep the node from serving.
+const MAX_HOLD_BACK_MS: SpanMs = SpanMs(5_000);
 
 /// The pause after a version was copied. It adds up along a chain of nodes that copy from each other.
-const COPY_GATHER_MS: SpanMs = SpanMs(200);
+const COPY_PAUSE_MS: SpanMs = SpanMs(200);
 
-/// The pause of a follower that finds a version which a peer named neither at peers nor in the
-/// directory: there may be none.
-const UNFOUND_PAUSE_MS: SpanMs = SpanMs(2_000);
+/// The pause of a follower that found an announced version neither at its peers nor in the directory.
+/// The version may not exist.
+const NOT_FOUND_PAUSE_MS: SpanMs = SpanMs(2_000);
 
-/// How often a node that waits for a version checks whether it still hears its peers.
-pub(super) const PROBE_INTERVAL_MS: SpanMs = SpanMs(1_000);
+/// The interval at which a node that waits for a version checks that enough peers are still live.
+pub(super) const PEER_CHECK_MS: SpanMs = SpanMs(1_000);
 
 /// Watches the configuration until the process ends.
 pub async fn watch_config(node: Rc<Node>) {
     let mut watch = ConfigWatch {
         node,
         cursor: None,
-        held_back_ms: None,
+        held_back_since_ms: None,
         backoff: Backoff::new("configuration"),
     };
     loop {
@@ -66,39 +66,40 @@
     }
 }
 
-/// The state of the watch.
+/// The state of the configuration watcher.
 struct ConfigWatch {
     node: Rc<Node>,
-    /// Up to where the directory was read; none where what followed was copied, or nothing was read yet.
+    /// The position up to which the directory was read. `None` if nothing was read yet, or if later
+    /// versions were copied from peers.
     cursor: Option<Cursor>,
-    /// Since when an older configuration than the peers' isn't taken.
-    held_back_ms: Option<MonoMs>,
+    /// The time since which a configuration older than the peers' is held back.
+    held_back_since_ms: Option<MonoMs>,
     backoff: Backoff,
 }
 
 impl ConfigWatch {
-    /// Waits for the next version at peers, or for this node to become a reader.
+    /// Waits for the next version from peers, or for this node to become a reader.
     async fn follow(&mut self) {
         self.cursor = None;
         match follow::follow(&self.node).await {
-            Followed::Reader => {}
-            Followed::Copied(config, copy) => {
-                take(&self.node, Rc::new(config), TextFrom::Peer(copy));
-                tokio::time::sleep(Duration::from(COPY_GATHER_MS)).await;
+            FollowResult::Reader => {}
+            FollowResult::Copied(config, copy) => {
+                put_in_force(&self.node, Rc::new(config), TextSource::Peer(copy));
+                tokio::time::sleep(Duration::from(COPY_PAUSE_MS)).await;
             }
-            Followed::Nowhere => {
+            FollowResult::NotFound => {
                 self.read().await;
                 if self.node.directory_watch.is_behind() {
-                    tokio::time::sleep(Duration::from(UNFOUND_PAUSE_MS)).await;
+                    tokio::time::sleep(Duration::from(NOT_FOUND_PAUSE_MS)).await;
                 }
             }
         }
     }
 
-    /// Reads the next version from the directory, and pauses.
+    /// Reads the next version from the directory and pauses.
     async fn read(&mut self) {
         let node = self.node.clone();
-        let begun_ms = node.now_ms();
+        let started_ms = node.now_ms();
         let read = match self.cursor {
             Some(cursor) => next_read(&node, cursor).await,
             None if node.config_version().is_none() => first_read(&node).await,
@@ -108,119 +109,126 @@
             }
         };
         match read {
-            Ok(update) => self.take_in(update).await,
+            Ok(update) => self.on_update(update).await,
             Err(error) => {
                 node.journal.record(&Event::ConfigReadFailed {
                     reason: error.to_string().into(),
-                    waited_ms: node.now_ms().since(begun_ms),
+                    waited_ms: node.now_ms().since(started_ms),
                 });
                 self.backoff.failed(&node, &error).await;
             }
         }
     }
 
-    async fn take_in(&mut self, update: ConfigUpdate) {
+    /// Puts a configuration that was read in force, or holds it back, and pauses.
+    async fn on_update(&mut self, update: ConfigUpdate) {
         let node = &self.node;
         self.backoff.succeeded(node);
         era::on_era(node, update.cursor.era);
         if let Some(config) = &update.config
-            && is_held_back(node, config, &mut self.held_back_ms)
+            && is_held_back(node, config, &mut self.held_back_since_ms)
         {
-            tokio::time::sleep(Duration::from(AGAIN_MS)).await;
+            tokio::time::sleep(Duration::from(FIRST_READ_RETRY_MS)).await;
             return;
         }
         self.cursor = Some(update.cursor);
         if let Some(config) = update.config {
-            take(node, config, TextFrom::Directory(update.text));
-            tokio::time::sleep(Duration::from(GATHER_MS)).await;
+            put_in_force(node, config, TextSource::Directory(update.text));
+            tokio::time::sleep(Duration::from(READ_PAUSE_MS)).await;
         }
     }
 }
 
-/// Whether a node's first configuration is not to be taken, since peers hold a newer one: the directory
-/// came back from an older copy, and what the operators had written there is written again in a moment.
+/// Returns true if a node's first configuration must be held back because peers have a newer one. The
+/// directory then came back from an older copy, and the operators' later writes are about to be repeated
+/// there. `since_ms` keeps the time at which holding back began.
 fn is_held_back(node: &Node, config: &ServingConfig, since_ms: &mut Option<MonoMs>) -> bool {
     let first = node.with(|state| state.config.is_none());
     if !first || !node.directory_watch.is_older_than_known(config.version()) {
         return false;
     }
     let now_ms = node.now_ms();
-    now_ms.since(*since_ms.get_or_insert(now_ms)) < LONGEST_HELD_BACK_MS
+    now_ms.since(*since_ms.get_or_insert(now_ms)) < MAX_HOLD_BACK_MS
 }
 
-/// Reads the newest configuration, on one more connection at a time while none answers.
+/// Reads the newest configuration. Adds one more connection after each [`FIRST_READ_RETRY_MS`] without
+/// an answer.
 ///
-/// Nodes that start while the directory is away send their first read into silence, and an answer that
-/// was lost never comes. Given up after a second or two, it kept nodes from serving for up to 0.9 s
+/// A node that starts during a directory outage gets no answer to its first read, and a lost answer
+/// never arrives. With a timeout of a second or two on a single read, nodes began to serve up to 0.9 s
 /// after the directory was back.
 async fn first_read(node: &Node) -> Result<ConfigUpdate, DirectoryError> {
     let directory = &node.platform.directory;
     let mut reads = FuturesUnordered::new();
     loop {
         reads.push(directory.read_config(None, SpanMs::ZERO));
-        let again = tokio::time::sleep(Duration::from(AGAIN_MS));
-        tokio::pin!(again);
+        let retry = tokio::time::sleep(Duration::from(FIRST_READ_RETRY_MS));
+        tokio::pin!(retry);
         loop {
             let read = tokio::select! {
                 Some(read) = reads.next() => read,
-                () = &mut again => break,
+                () = &mut retry => break,
             };
             if read.is_ok() || reads.is_empty() {
-                if read.is_ok() && node.directory_watch.directory_away.replace(false) {
+                if read.is_ok() && node.directory_watch.first_read_unanswered.replace(false) {
                     node.directory_watch.directory_back.notify_one();
                 }
-                node.directory_watch.directory_away.set(read.is_err());
+                node.directory_watch
+                    .first_read_unanswered
+                    .set(read.is_err());
                 return read;
             }
         }
-        node.directory_watch.directory_away.set(true);
+        node.directory_watch.first_read_unanswered.set(true);
     }
 }
 
-/// Waits for a newer configuration.
+/// Waits for a configuration that is newer than the one at `cursor`.
 async fn next_read(node: &Node, cursor: Cursor) -> Result<ConfigUpdate, DirectoryError> {
     let directory = &node.platform.directory;
-    let other_readers = follow::readers(node) - 1;
+    let other_readers = follow::reader_count(node) - 1;
     let wait_ms = long_poll::long_poll_timeout(other_readers, rand::random());
     tokio::select! {
         read = directory.read_config(Some(cursor), wait_ms) => read,
-        // A read that was begun before is behind a connection that may never answer.
-        () = node.directory_watch.directory_returned() => {
+        // A read from before the outage is on a connection that may never answer.
+        () = node.directory_watch.wait_for_directory_return() => {
             directory.read_config(Some(cursor), SpanMs::ZERO).await
         }
-        () = overtaken(node) => directory.read_config(Some(cursor), SpanMs::ZERO).await,
-        // An open read may be behind a connection to the directory as it was.
-        () = era::later_than(node, cursor.era) => directory.read_config(None, SpanMs::ZERO).await,
+        () = wait_until_stale(node) => directory.read_config(Some(cursor), SpanMs::ZERO).await,
+        // An open read may be on a connection to the directory of the earlier era.
+        () = era::wait_for_later(node, cursor.era) => directory.read_config(None, SpanMs::ZERO).await,
     }
 }
 
-/// Ends where the open read isn't to be relied on: a peer has known a newer version for a while, or
-/// the peers on which its length relied are no longer heard.
-async fn overtaken(node: &Node) {
-    let told = long_poll::can_rely_on_peers(node.outbox.live_peer_count());
+/// Waits until the open long poll can no longer be relied on: a peer has known a newer version for
+/// [`POLL_GRACE_MS`], or the peers on which the poll's length relied are no longer live.
+async fn wait_until_stale(node: &Node) {
+    let relied_on_peers = long_poll::can_rely_on_peers(node.outbox.live_peer_count());
     loop {
-        let probe = tokio::time::sleep(Duration::from(PROBE_INTERVAL_MS));
+        let peer_check = tokio::time::sleep(Duration::from(PEER_CHECK_MS));
         tokio::select! {
             () = node.directory_watch.newer_config.notified() => {
-                tokio::time::sleep(Duration::from(OWN_READ_MS)).await;
+                tokio::time::sleep(Duration::from(POLL_GRACE_MS)).await;
             }
-            () = probe => {}
+            () = peer_check => {}
         }
-        let alone = told && !long_poll::can_rely_on_peers(node.outbox.live_peer_count());
+        let alone = relied_on_peers && !long_poll::can_rely_on_peers(node.outbox.live_peer_count());
         if alone || node.directory_watch.is_behind() {
             return;
         }
     }
 }
 
-/// Where a configuration's text came from.
-enum TextFrom {
+/// The source of a configuration, with its text.
+enum TextSource {
+    /// Read from the directory. The text is `None` if it can't be copied.
     Directory(Option<Buffer>),
+    /// Copied from a peer.
     Peer(ConfigCopy),
 }
 
-/// Puts a configuration in force where it is newer than the one that is.
-fn take(node: &Node, config: Rc<ServingConfig>, text: TextFrom) {
+/// Puts a configuration in force if it is newer than the current one.
+fn put_in_force(node: &Node, config: Rc<ServingConfig>, text: TextSource) {
     let version = config.version();
     let routes = config.route_count();
     let now_ms = node.now_ms();
@@ -238,15 +246,15 @@
         return;
     };
     let from = match &text {
-        TextFrom::Directory(_) => "directory",
-        TextFrom::Peer(_) => "peer",
+        TextSource::Directory(_) => "directory",
+        TextSource::Peer(_) => "peer",
     };
     match text {
-        TextFrom::Directory(text) => node.copies.on_read(text),
-        TextFrom::Peer(copy) => node.copies.on_copied(copy),
+        TextSource::Directory(text) => node.copies.on_read(text),
+        TextSource::Peer(copy) => node.copies.on_copied(copy),
     }
     let behind_ms = node.directory_watch.on_config_in_force(version, now_ms);
-    node.directory_watch.learned.notify_waiters();
+    node.directory_watch.data_changed.notify_waiters();
     node.outbox.config(version);
     node.journal.record(&Event::ConfigInForce {
         version,
--- a/crates/front/src/watch/follow.rs
+++ b/crates/front/src/watch/follow.rs
@@ -1,6 +1,6 @@
-//! Following the configuration at peers instead of the directory.
+//! Copies the configuration from peers instead of reading it from the directory.
 
-use super::config::PROBE_INTERVAL_MS;
+use super::config::PEER_CHECK_MS;
 use crate::copies::{self, ConfigCopy};
 use crate::journal::Event;
 use crate::node::Node;
@@ -11,20 +11,21 @@
 use rand::seq::SliceRandom;
 use std::time::Duration;
 
-/// How many peers that have the version are asked where the parent doesn't give it.
-const OTHER_SOURCES: usize = 3;
+/// The maximum number of peers with the version that are asked if the parent doesn't provide it.
+const MAX_OTHER_SOURCES: usize = 3;
 
-/// How a wait for a newer configuration at peers ended.
-pub(super) enum Followed {
-    /// A peer gave it.
+/// The result of waiting for a newer configuration from peers.
+pub(super) enum FollowResult {
+    /// A peer provided it.
     Copied(ServingConfig, ConfigCopy),
-    /// There is a newer one, and no peer that was asked gave it.
-    Nowhere,
-    /// This node is to read the directory itself.
+    /// A newer one is known, but none of the peers that were asked provided it.
+    NotFound,
+    /// This node must read the directory itself.
     Reader,
 }
 
-/// The node from which this one copies the configuration; none where it is to read the directory.
+/// Returns the peer from which this node copies the configuration, or `None` if this node must read
+/// the directory.
 pub(super) fn parent(node: &Node) -> Option<OwnerId> {
     node.config_version()?;
     if !long_poll::can_rely_on_peers(node.outbox.live_peer_count()) {
@@ -37,56 +38,58 @@
     }
 }
 
-/// How many nodes read the directory, this one included.
-pub(super) fn readers(node: &Node) -> usize {
+/// Returns the number of nodes that read the directory, including this one.
+pub(super) fn reader_count(node: &Node) -> usize {
     let mut sizes = node.outbox.domain_sizes();
     *sizes.entry(node.settings.domain.clone()).or_insert(0) += 1;
     distribution::readers(sizes.into_values())
 }
 
 /// Waits for a newer configuration and copies it.
-pub(super) async fn follow(node: &Node) -> Followed {
+pub(super) async fn follow(node: &Node) -> FollowResult {
     loop {
         let Some(parent) = parent(node) else {
-            return Followed::Reader;
+            return FollowResult::Reader;
         };
         if node.directory_watch.is_behind() {
             return copy_from(node, parent).await;
         }
-        // Whether there is a newer one is seen by the next turn.
+        // Ignore a timeout: the next iteration checks for a newer version either way.
         let _ = tokio::time::timeout(
-            Duration::from(PROBE_INTERVAL_MS),
+            Duration::from(PEER_CHECK_MS),
             node.directory_watch.newer_config.notified(),
         )
         .await;
     }
 }
 
-async fn copy_from(node: &Node, parent: OwnerId) -> Followed {
+/// Requests a newer configuration from `parent` and then from other peers that have one.
+async fn copy_from(node: &Node, parent: OwnerId) -> FollowResult {
     let Some(held) = node.config_version() else {
-        return Followed::Reader;
+        return FollowResult::Reader;
     };
     for peer in sources(node, parent, held) {
         let Some(address) = node.outbox.address_of(peer) else {
             continue;
         };
         match copies::fetch(node, address, held).await {
-            Ok((config, copy)) => return Followed::Copied(config, copy),
+            Ok((config, copy)) => return FollowResult::Copied(config, copy),
             Err(error) => node.journal.record(&Event::ConfigCopyFailed {
                 peer: peer.0,
                 reason: error.to_string().into(),
             }),
         }
     }
-    Followed::Nowhere
+    FollowResult::NotFound
 }
 
-/// The peers to ask, in this order: the parent, which may be about to have it, and some that have it.
+/// Returns the peers to ask, in this order: the parent, which may be about to get the version, and up
+/// to [`MAX_OTHER_SOURCES`] peers that have it.
 fn sources(node: &Node, parent: OwnerId, held: ConfigVersion) -> Vec<OwnerId> {
     let mut holders = node.outbox.config_holders(held);
     holders.retain(|holder| *holder != parent);
     holders.shuffle(&mut rand::rng());
-    holders.truncate(OTHER_SOURCES);
+    holders.truncate(MAX_OTHER_SOURCES);
     holders.insert(0, parent);
     holders
 }
--- a/crates/front/src/watch/mod.rs
+++ b/crates/front/src/watch/mod.rs
@@ -1,16 +1,18 @@
-//! Watching the directory: the configuration, the replicas and the nodes.
+//! Watches the directory: the configuration, the replicas, the nodes and the requests in quarantine.
+//! Also probes engines for their pace.
 //!
-//! Terms: an *era* is one history of the directory; one that comes back from an older copy begins another.
+//! Terms: an *era* is one history of the directory. The directory is *renewed* if it comes back from
+//! an older copy of itself, which begins a new era.
 //!
-//! Invariants: a configuration older than the one in force is never taken; an error of the directory
-//! changes nothing but the trust in lapsed entries.
+//! Invariants: a configuration older than the one in force is never put in force; a directory error
+//! changes nothing except how lapsed entries are treated.
 
 mod config;
 mod era;
 mod follow;
 mod nodes;
+mod notices;
 mod paces;
-mod pieces;
 mod quarantine;
 mod replicas;
 mod retry;
--- a/crates/front/src/watch/nodes.rs
+++ b/crates/front/src/watch/nodes.rs
@@ -1,4 +1,4 @@
-//! The nodes that announced themselves.
+//! Announces this node in the directory and finds the other announced nodes.
 
 use super::era::Renewals;
 use super::retry::Backoff;
@@ -10,24 +10,25 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The first look at the list after the own announcement: nodes that started together have all
-/// announced themselves by then.
-const FIRST_MS: u64 = 1_500;
+/// The time in milliseconds until the list is read again while no peer is known. By then, nodes that
+/// started together have all announced themselves.
+const FIRST_READ_MS: u64 = 1_500;
 
-/// How often the list is read after that. A node that starts tells all others of itself, so this
-/// only makes up for gossip lost on both ways, and each time it is a call of every node. With what it
-/// is spread over it is shorter than the time after which silent peers are forgotten, so that nodes
-/// which were cut off from each other for long find each other again.
-const EVERY_MS: u64 = 44_000;
+/// The interval in milliseconds at which the list is read after that. A node that starts sends gossip
+/// to all others, so these reads only make up for gossip lost in both directions, and each round costs
+/// one call per node. With its random spread the interval is still shorter than the time after which
+/// silent peers are forgotten. Nodes that were cut off from each other for long thus find each other
+/// again.
+const READ_INTERVAL_MS: u64 = 44_000;
 
-/// Announces this node and watches the others until the process ends.
+/// Announces this node and reads the list of nodes until the process ends.
 pub async fn watch_nodes(node: Rc<Node>) {
     let mut backoff = Backoff::new("nodes");
     let own = NodeEntry {
         incarnation: Incarnation(node.owner.0),
         address: node.settings.gossip,
     };
-    let mut renewals = Renewals::of(&node);
+    let mut renewals = Renewals::subscribe(&node);
     announce(&node, &own, &mut backoff).await;
     loop {
         match node.platform.directory.read_nodes().await {
@@ -44,17 +45,22 @@
                 continue;
             }
         }
-        let first = node.outbox.peer_count() == 0;
-        let every_ms = if first { FIRST_MS } else { EVERY_MS };
-        let spread_ms = rand::rng().random_range(0..=every_ms / 4);
+        let alone = node.outbox.peer_count() == 0;
+        let interval_ms = if alone {
+            FIRST_READ_MS
+        } else {
+            READ_INTERVAL_MS
+        };
+        let spread_ms = rand::rng().random_range(0..=interval_ms / 4);
         tokio::select! {
-            () = tokio::time::sleep(Duration::from_millis(every_ms + spread_ms)) => {}
-            // The older copy may lack this node's entry, and nodes that start would not find it.
+            () = tokio::time::sleep(Duration::from_millis(interval_ms + spread_ms)) => {}
+            // The older copy may lack this node's entry, so that starting nodes wouldn't find it.
             () = renewals.next(&node) => announce(&node, &own, &mut backoff).await,
         }
     }
 }
 
+/// Announces this node, and retries until that succeeds.
 async fn announce(node: &Node, own: &NodeEntry, backoff: &mut Backoff) {
     while let Err(error) = node.platform.directory.announce(own.clone()).await {
         backoff.failed(node, &error).await;
--- a/crates/front/src/watch/paces.rs
+++ b/crates/front/src/watch/paces.rs
@@ -1,4 +1,4 @@
-//! Looking at engines: each by one node, which tells the others.
+//! Probes engines for their pace. Each engine is probed by one node, which notifies the others.
 
 use crate::http::Freshness;
 use crate::journal::Event;
@@ -14,28 +14,28 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// How long an engine may take to answer: a sound one takes a few ms.
-const ANSWER_MS: SpanMs = SpanMs(400);
+/// The time within which an engine must answer a probe. A healthy engine takes a few ms.
+const PROBE_TIMEOUT_MS: SpanMs = SpanMs(400);
 
-/// The largest report.
-const REPORT_BYTES: usize = 64 * 1024;
+/// The maximum size of a report, in bytes.
+const MAX_REPORT_BYTES: usize = 64 * 1024;
 
-/// How long a connection is kept between two looks.
-const KEPT_MS: SpanMs = SpanMs(3_000);
+/// The time for which an idle connection is kept between two probes.
+const IDLE_CONNECTION_MS: SpanMs = SpanMs(3_000);
 
-/// Looks at this node's part of the engines until the process ends.
+/// Probes this node's part of the engines until the process ends.
 pub async fn watch_paces(node: Rc<Node>) {
     loop {
         let spread_ms = rand::random_range(0..=PROBE_INTERVAL_MS.0 / 4);
         tokio::time::sleep(Duration::from_millis(PROBE_INTERVAL_MS.0 + spread_ms)).await;
-        for (key, address) in own_part(&node) {
+        for (key, address) in engines_to_probe(&node) {
             spawn_local(probe(node.clone(), key, address));
         }
     }
 }
 
-/// The engines at which this node looks.
-fn own_part(node: &Node) -> Vec<(ReplicaKey, SocketAddr)> {
+/// Returns the engines that this node probes.
+fn engines_to_probe(node: &Node) -> Vec<(ReplicaKey, SocketAddr)> {
     let peers = node.outbox.live_peers();
     let now_ms = node.now_ms();
     limits::update_shares(node);
@@ -55,17 +55,18 @@
     })
 }
 
-/// Whether an engine answers a look.
+/// Returns true if an engine answers a probe in time.
 pub async fn is_responding(node: &Rc<Node>, address: SocketAddr) -> bool {
     report(node, address).await.is_some()
 }
 
-/// What an engine says of itself; none where it doesn't answer in time.
+/// Requests an engine's report. Returns `None` if no readable answer arrives in time.
 async fn report(node: &Rc<Node>, address: SocketAddr) -> Option<EngineReport> {
-    let read = tokio::time::timeout(Duration::from(ANSWER_MS), read(node, address));
+    let read = tokio::time::timeout(Duration::from(PROBE_TIMEOUT_MS), read(node, address));
     read.await.ok().flatten()
 }
 
+/// Probes one engine, and records and gossips its pace.
 async fn probe(node: Rc<Node>, key: ReplicaKey, address: SocketAddr) {
     let Some(report) = report(&node, address).await else {
         return;
@@ -83,6 +84,8 @@
     }
 }
 
+/// Requests an engine's report, and handles the signals in the answer's head. Returns `None` on any
+/// error.
 async fn read(node: &Rc<Node>, address: SocketAddr) -> Option<EngineReport> {
     let mut link = node.pool.lease(address, Freshness::Kept).await.ok()?;
     let request = node.platform.dialect.report_request(address);
@@ -90,16 +93,16 @@
     let sent_ms = node.now_ms();
     let answer = link.send(request).await.ok()?;
     let status = answer.status();
-    let said = node
+    let signals = node
         .platform
         .dialect
         .signals(status.as_u16(), answer.headers());
-    // What refuses a probe says nothing by not naming a limit: another replica may have the address.
-    if status.is_success() || said.limit != LimitSignal::Absent {
-        signals::on_answer_at(node, address, &said, Source::Probe, sent_ms);
+    // A refused probe without a limit doesn't end one: another replica may have the address now.
+    if status.is_success() || signals.limit != LimitSignal::Absent {
+        signals::on_answer_at(node, address, &signals, Source::Probe, sent_ms);
     }
-    let body = Limited::new(answer.into_body(), REPORT_BYTES);
+    let body = Limited::new(answer.into_body(), MAX_REPORT_BYTES);
     let body = body.collect().await.ok()?.to_bytes();
-    node.pool.give_back(link, Some(KEPT_MS));
+    node.pool.give_back(link, Some(IDLE_CONNECTION_MS));
     node.platform.dialect.report(&body)
 }
--- a/crates/front/src/watch/quarantine.rs
+++ b/crates/front/src/watch/quarantine.rs
@@ -1,5 +1,6 @@
-//! The requests in quarantine that the directory remembers, for nodes that can't hear of them from
-//! peers: after power was lost at all of them, and while most are cut off.
+//! Stores the requests in quarantine in the directory and reads them from there. That serves nodes
+//! that can't get them from peers: after a loss of power at all nodes, and while most peers are cut
+//! off.
 
 use super::era::Renewals;
 use super::retry::Backoff;
@@ -11,11 +12,12 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// How often a node looks whether it hears too few peers to learn from them, and reads where it does:
-/// within the three seconds after which a fatal request must be known.
-const LOOK_MS: SpanMs = SpanMs(2_000);
+/// The interval at which a node checks whether too few peers are live to learn from them, and if so
+/// reads the directory. It is within the three seconds after which a fatal request must be known.
+const PEER_CHECK_MS: SpanMs = SpanMs(2_000);
 
-/// Reads what the directory remembers, once at the start and while most peers are silent.
+/// Reads the stored requests at the start, and at intervals while most peers are silent, until the
+/// process ends.
 pub async fn watch_quarantine(node: Rc<Node>) {
     let mut backoff = Backoff::new("quarantine");
     loop {
@@ -31,18 +33,18 @@
                 continue;
             }
         }
-        tokio::time::sleep(Duration::from(LOOK_MS)).await;
-        while hears_most(&node) {
-            tokio::time::sleep(Duration::from(LOOK_MS)).await;
+        tokio::time::sleep(Duration::from(PEER_CHECK_MS)).await;
+        while most_peers_live(&node) {
+            tokio::time::sleep(Duration::from(PEER_CHECK_MS)).await;
         }
     }
 }
 
-/// Stores what is in quarantine again after each renewal of the directory, until the process ends: the
-/// older copy may lack it, and a loss of power at all nodes would forget it. The node that reviews a
-/// request does that.
+/// Stores the requests in quarantine again after each renewal of the directory, until the process ends.
+/// The older copy may lack them, and a loss of power at all nodes would then lose them. Each request is
+/// stored by the node that reviews it.
 pub async fn restore_quarantine(node: Rc<Node>) {
-    let mut renewals = Renewals::of(&node);
+    let mut renewals = Renewals::subscribe(&node);
     loop {
         renewals.next(&node).await;
         for request in quarantine::list(&node) {
@@ -53,11 +55,12 @@
     }
 }
 
-fn hears_most(node: &Node) -> bool {
+/// Returns true if at least half of the known peers are live.
+fn most_peers_live(node: &Node) -> bool {
     node.outbox.live_peer_count() * 2 >= node.outbox.peer_count()
 }
 
-/// Tells the directory how a request stands, until it knows.
+/// Stores the quarantine of a request, or its end, in the directory. Retries until that succeeds.
 pub fn store_quarantine(node: Rc<Node>, digest: RequestDigest) {
     spawn_local(async move {
         let mut backoff = Backoff::new("quarantine");
--- a/crates/front/src/watch/replicas.rs
+++ b/crates/front/src/watch/replicas.rs
@@ -1,7 +1,7 @@
-//! The replicas that the directory lists.
+//! Keeps the table of replicas up to date with the directory's list.
 
 use super::era;
-use super::pieces::Pieces;
+use super::notices::NoticeBuilder;
 use super::retry::Backoff;
 use super::shared::ReplicasNotice;
 use crate::journal::Event;
@@ -13,34 +13,34 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long the list may go unread by all nodes: a replica that leaves must get no new work two
-/// seconds later.
-const LEAST_AGE_MS: u64 = 700;
+/// The age in milliseconds up to which the list isn't read again by any node. A replica that leaves
+/// must get no new work two seconds later.
+const MIN_AGE_MS: u64 = 700;
 
-/// The span over which nodes spread their reads, so that mostly one reads for all.
+/// The span in milliseconds over which nodes spread their reads, so that mostly one node reads for all.
 const SPREAD_MS: u64 = 500;
 
-/// The shortest pause between two reads: two nodes whose tables stay different for a while would
-/// else make each other read without end.
-const LEAST_PAUSE_MS: SpanMs = SpanMs(250);
+/// The minimum pause between two reads. Otherwise two nodes whose tables stay different for a while
+/// would make each other read continuously.
+const MIN_PAUSE_MS: SpanMs = SpanMs(250);
 
-/// How much each peer adds to the span over which those that were told too little spread their reads:
-/// what is told next may spare most of them.
+/// The time in milliseconds that each peer adds to the span over which nodes with a differing table
+/// spread their reads. The next notice may spare most of them the read.
 const PEER_SPREAD_MS: u64 = 2;
 
-/// The longest such span.
-const LONGEST_SPREAD_MS: u64 = 400;
+/// The maximum of that span, in milliseconds.
+const MAX_SPREAD_MS: u64 = 400;
 
 /// Watches the replicas until the process ends.
 ///
-/// A node that can't read, but whose table peers that can confirm, has no reason to ask again.
+/// A node that can't read the directory doesn't retry while notices from peers confirm its table.
 pub async fn watch_replicas(node: Rc<Node>) {
     let mut backoff = Backoff::new("replicas");
     loop {
         let cursor = node.directory_watch.cursor();
         let read = tokio::select! {
             read = node.platform.directory.read_replicas(cursor) => read,
-            // What was asked for while the directory was away is never answered.
+            // A read that was sent during the directory's outage is never answered.
             () = node.directory_watch.directory_back.notified() => {
                 node.platform.directory.read_replicas(cursor).await
             }
@@ -50,13 +50,13 @@
                 backoff.succeeded(&node);
                 let cursor = update.cursor;
                 let renewed = era::on_era(&node, cursor.era);
-                let told = take(&node, update, renewed);
+                let notices = apply_update(&node, update, renewed);
                 node.directory_watch.on_own_read(cursor, node.now_ms());
-                for piece in told {
-                    node.outbox.replicas(piece);
+                for notice in notices {
+                    node.outbox.replicas(notice);
                 }
                 node.on_replicas_read();
-                tokio::time::sleep(Duration::from(LEAST_PAUSE_MS)).await;
+                tokio::time::sleep(Duration::from(MIN_PAUSE_MS)).await;
             }
             Err(error) => {
                 node.with(|state| state.replicas.on_directory_lost());
@@ -67,9 +67,9 @@
     }
 }
 
-/// Waits until the list has gone unread for long enough, or a peer's differs.
+/// Waits until the list is due to be read again by age, or until a peer has read more of it.
 async fn wait_for_age(node: &Node) {
-    let due_ms = LEAST_AGE_MS + rand::random_range(0..SPREAD_MS);
+    let due_ms = MIN_AGE_MS + rand::random_range(0..SPREAD_MS);
     loop {
         let age_ms = node
             .directory_watch
@@ -79,12 +79,12 @@
             return;
         };
         tokio::select! {
-            () = node.directory_watch.other_replicas.notified() => {
+            () = node.directory_watch.replicas_differ.notified() => {
                 let peers = node.outbox.live_peer_count() as u64;
-                let spread_ms = (peers * PEER_SPREAD_MS).min(LONGEST_SPREAD_MS);
+                let spread_ms = (peers * PEER_SPREAD_MS).min(MAX_SPREAD_MS);
                 let pause_ms = rand::random_range(0..=spread_ms);
                 tokio::time::sleep(Duration::from_millis(pause_ms)).await;
-                if node.directory_watch.misses_replicas() {
+                if node.directory_watch.peer_has_read_more() {
                     return;
                 }
             }
@@ -93,29 +93,30 @@
     }
 }
 
-/// Takes a read in, the first of a later era or not; returns what peers are told of it, piece by piece.
-fn take(node: &Node, update: ReplicaUpdate, renewed: bool) -> Vec<ReplicasNotice> {
+/// Applies a read to the table. `renewed` is true if it is the first read of a later era. Returns the
+/// notices for peers.
+fn apply_update(node: &Node, update: ReplicaUpdate, renewed: bool) -> Vec<ReplicasNotice> {
     let now_ms = node.now_ms();
-    let mut pieces = Pieces::open(node, update.cursor.era);
+    let mut notices = NoticeBuilder::open(node, update.cursor.era);
     node.with(|state| state.replicas.on_directory_read(now_ms));
     if update.is_snapshot {
-        let listed: Vec<Arc<str>> = update.changes.iter().filter_map(listed).collect();
+        let listed: Vec<Arc<str>> = update.changes.iter().filter_map(listed_instance).collect();
         match renewed {
             false => node.with(|state| state.replicas.retain_listed(&listed, now_ms)),
             true => {
                 for instance in node.with(|state| state.replicas.missing_from(&listed)) {
                     let missing = vec![ReplicaChange::Missing(instance)];
-                    pieces.add(node, take_changes(node, missing));
+                    notices.add(node, apply_changes(node, missing));
                 }
             }
         }
     }
     for change in update.changes {
-        // What an older copy lists may have left since.
+        // A replica that the older copy lists may have left since.
         if renewed && node.with(|state| state.replicas.is_outdated(&change)) {
             continue;
         }
-        pieces.add(node, take_changes(node, vec![change]));
+        notices.add(node, apply_changes(node, vec![change]));
     }
     let (awaits_relisting, awaits_rewrites) = node.with(|state| {
         let replicas = &state.replicas;
@@ -124,43 +125,44 @@
             replicas.awaits_rewrites(now_ms),
         )
     });
-    // What is missing after an outage may come back: each node judges that by what it saw of it. After a
-    // renewal all have seen the same.
+    // Replicas missing after an outage may come back. Each node judges that by its own observations, so
+    // the changes aren't shared. After a renewal all nodes have observed the same.
     match (update.is_snapshot || awaits_relisting) && !awaits_rewrites {
-        true => pieces.unannounced(node, update.cursor),
-        false => pieces.close(node, update.cursor),
+        true => notices.finish_without_changes(node, update.cursor),
+        false => notices.finish(node, update.cursor),
     }
 }
 
-/// Takes changes in; returns those that matter for work.
-pub(super) fn take_changes(node: &Node, changes: Vec<ReplicaChange>) -> Vec<ReplicaChange> {
+/// Applies changes to the table. Returns those that affect which replicas can be used.
+pub(super) fn apply_changes(node: &Node, changes: Vec<ReplicaChange>) -> Vec<ReplicaChange> {
     let now_ms = node.now_ms();
-    let mut mattered = Vec::new();
+    let mut relevant = Vec::new();
     for change in changes {
-        let seen = node.with(|state| state.replicas.apply(change.clone(), now_ms));
-        let Some(event) = event_of(seen, &change) else {
+        let result = node.with(|state| state.replicas.apply(change.clone(), now_ms));
+        let Some(event) = event_of(result, &change) else {
             continue;
         };
         node.journal.record(&event);
-        if seen != TableEvent::Unusable {
-            mattered.push(change);
+        if result != TableEvent::Unusable {
+            relevant.push(change);
         }
-        if seen == TableEvent::Restarted {
+        if result == TableEvent::Restarted {
             node.directory_watch.replica_restarted.notify_waiters();
         }
     }
-    mattered
+    relevant
 }
 
-/// The line that tells of a change; none where nothing changed that matters for work.
-fn event_of(seen: TableEvent, change: &ReplicaChange) -> Option<Event> {
+/// Returns the log event for a change, or `None` if the change doesn't affect which replicas can be
+/// used.
+fn event_of(result: TableEvent, change: &ReplicaChange) -> Option<Event> {
     let instance = match change {
         ReplicaChange::Listed(replica) => replica.instance.clone(),
         ReplicaChange::Removed(instance)
         | ReplicaChange::Missing(instance)
         | ReplicaChange::Unreadable { instance, .. } => instance.clone(),
     };
-    match (seen, change) {
+    match (result, change) {
         (TableEvent::Found, ReplicaChange::Listed(replica)) => Some(Event::ReplicaFound {
             key: replica.key(),
             instance,
@@ -189,10 +191,11 @@
     }
 }
 
-fn listed(change: &ReplicaChange) -> Option<Arc<str>> {
+/// Returns the instance of an entry that is present in the directory.
+fn listed_instance(change: &ReplicaChange) -> Option<Arc<str>> {
     match change {
         ReplicaChange::Listed(replica) => Some(replica.instance.clone()),
-        // An entry that can't be read is there all the same: its replica isn't gone for it.
+        // An unreadable entry is still present, so its replica isn't gone.
         ReplicaChange::Unreadable { instance, .. } => Some(instance.clone()),
         ReplicaChange::Removed(_) | ReplicaChange::Missing(_) => None,
     }
--- a/crates/front/src/watch/shared.rs
+++ b/crates/front/src/watch/shared.rs
@@ -1,19 +1,19 @@
-//! What nodes save each other of reading the directory.
+//! State that the watchers share, and notices that save nodes most reads of the directory.
 //!
-//! Load pattern: each node that reads every second costs a call a second, and each change of a
-//! replica would make all nodes read at once; the directory's calls are limited for all nodes
-//! together.
+//! Load pattern: each node that reads every second costs a call a second, and each change of a replica
+//! would make all nodes read at once. The directory's calls are limited for all nodes together.
 //!
-//! Reason for the limits: a node that has just read tells the others how its table looks, how it
-//! looked before, and the changes between. One whose table looks as after has missed nothing; one
-//! whose table looks as before takes the changes in; one whose table looks otherwise, or that hears
-//! nobody, reads itself. So a lost datagram costs a call and never a change.
+//! Reason for the limits: a node that has just read the replica list sends the others the fingerprint
+//! of its table, the fingerprint from before the read, and the changes between them. A node whose table
+//! matches the later fingerprint has missed nothing. A node whose table matches the earlier one applies
+//! the changes. A node with any other table, or without live peers, reads the directory itself. A lost
+//! datagram thus costs a call but never a change.
 //!
-//! Invariants: what a peer tells changes a table only where it leads from exactly this table to
-//! exactly the peer's.
+//! Invariants: a peer's notice changes a table only if it leads from exactly this table to exactly the
+//! peer's.
 
 use super::era::{KnownEra, on_notified_era};
-use super::replicas::take_changes;
+use super::replicas::apply_changes;
 use crate::journal::Event;
 use crate::node::Node;
 use crate::platform::Cursor;
@@ -22,50 +22,52 @@
 use std::cell::{Cell, RefCell};
 use tokio::sync::{Notify, watch};
 
-/// What the watchers share with those who take gossip in.
+/// The state that the directory watchers share with the receiver of gossip.
 #[derive(Debug, Default)]
 pub struct DirectoryWatch {
-    /// The directory's newest era.
+    /// The newest era of the directory that this node knows.
     pub(super) era: KnownEra,
-    /// A peer knows a newer configuration.
+    /// Notified when a peer knows a newer configuration.
     pub(super) newer_config: Notify,
-    /// A peer's table of replicas differs.
-    pub(super) other_replicas: Notify,
-    /// A replica has started again.
+    /// Notified when a peer has read more of the replica list and its table differs.
+    pub(super) replicas_differ: Notify,
+    /// Notified when a replica has restarted.
     pub(super) replica_restarted: Notify,
-    /// The first configuration, or the list of replicas, was read.
-    pub(crate) learned: Notify,
-    /// The directory answers again, after it did not answer a node that had read nothing yet.
+    /// Notified when a configuration came into force or the replica list was read.
+    pub(crate) data_changed: Notify,
+    /// Notified when the directory answers again, after it didn't answer a node that had read nothing
+    /// yet.
     pub(super) directory_back: Notify,
-    /// Whether it doesn't answer such a node.
-    pub(super) directory_away: Cell<bool>,
-    /// Whether the directory failed this node's last read.
-    directory_lost: Cell<bool>,
-    /// How often the directory came back after it had failed.
-    returns: watch::Sender<u64>,
-    /// The versions of the configuration that are in force and known.
+    /// True while the directory doesn't answer a node that has read nothing yet.
+    pub(super) first_read_unanswered: Cell<bool>,
+    /// True if this node's last call of the directory failed and no peer has reported its return.
+    directory_failed: Cell<bool>,
+    /// The number of times that the directory came back after a failed call.
+    return_count: watch::Sender<u64>,
+    /// The configuration version in force and the newest known one.
     freshness: RefCell<ConfigFreshness>,
-    /// Up to where the directory's replicas are known, and since when.
+    /// The position up to which the replica list is known, and when that was last confirmed.
     confirmed: Cell<Option<(Cursor, MonoMs)>>,
-    /// Up to where a peer has read them whose table is another.
-    notified_replicas: Cell<Option<Cursor>>,
+    /// The latest position up to which a peer with a differing table has read the replica list.
+    peer_cursor: Cell<Option<Cursor>>,
 }
 
-/// What a peer tells of its table of replicas.
+/// A notice that a peer has read the replica list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplicasNotice {
-    /// Up to where it has read.
+    /// The position up to which the peer has read.
     pub cursor: Cursor,
-    /// How its table looked before that.
+    /// The fingerprint of its table before the read.
     pub before: Fingerprint,
-    /// How its table looks now.
+    /// The fingerprint of its table after the read.
     pub after: Fingerprint,
-    /// What led from one to the other; empty where that is too much to tell.
+    /// The changes that lead from `before` to `after`. Empty if there are too many to send, or if each
+    /// node must judge them by its own read.
     pub changes: Vec<ReplicaChange>,
 }
 
 impl DirectoryWatch {
-    /// A peer has seen this version of the configuration.
+    /// Handles the notice that a peer knows this version of the configuration.
     pub fn on_peer_config(&self, node: &Node, peer: OwnerId, version: ConfigVersion) {
         let is_new = self.freshness.borrow_mut().on_known(version, node.now_ms());
         if !self.is_behind() {
@@ -80,12 +82,12 @@
         self.newer_config.notify_one();
     }
 
-    /// A version is in force. Returns for how long the node had been behind it.
+    /// Records that a version is in force. Returns the time for which the node had been behind.
     pub(super) fn on_config_in_force(&self, version: ConfigVersion, now_ms: MonoMs) -> SpanMs {
         self.freshness.borrow_mut().on_in_force(version, now_ms)
     }
 
-    /// Reports the lag of the configuration in force.
+    /// Reports the lag of the configuration in force to the metrics and, if it is long, to the log.
     pub fn report_lag(&self, node: &Node) {
         let now_ms = node.now_ms();
         let mut freshness = self.freshness.borrow_mut();
@@ -101,63 +103,65 @@
         }
     }
 
-    /// A read of the directory failed.
+    /// Records that a call of the directory failed.
     pub(super) fn on_directory_failed(&self) {
-        self.directory_lost.set(true);
+        self.directory_failed.set(true);
     }
 
-    /// A read of the directory succeeded.
+    /// Records that a call of the directory succeeded, and notifies peers if the one before had failed.
     pub(super) fn on_directory_answered(&self, node: &Node) {
-        if self.directory_lost.replace(false) {
-            self.note_return();
+        if self.directory_failed.replace(false) {
+            self.on_directory_returned();
             node.outbox.directory_back();
         }
     }
 
-    /// A peer found that the directory is back.
+    /// Handles the notice that the directory answers a peer again.
     pub fn on_peer_directory_back(&self) {
-        if self.directory_lost.replace(false) {
-            self.note_return();
+        if self.directory_failed.replace(false) {
+            self.on_directory_returned();
         }
     }
 
-    fn note_return(&self) {
-        self.returns.send_modify(|returns| *returns += 1);
+    /// Wakes the tasks that wait for the directory to come back.
+    fn on_directory_returned(&self) {
+        self.return_count
+            .send_modify(|return_count| *return_count += 1);
     }
 
-    /// Ends once the directory is back after it had failed.
-    pub(super) async fn directory_returned(&self) {
+    /// Waits until the directory comes back after a failed call.
+    pub(super) async fn wait_for_directory_return(&self) {
         // The sender lives as long as the node.
-        let _ = self.returns.subscribe().changed().await;
+        let _ = self.return_count.subscribe().changed().await;
     }
 
-    /// Whether the directory is known not to answer, as far as a node knows that has read nothing yet.
+    /// Returns true if this node has read nothing yet and the directory doesn't answer it.
     pub fn is_directory_unreachable(&self) -> bool {
-        self.directory_away.get()
+        self.first_read_unanswered.get()
     }
 
-    /// Whether a peer told of a newer configuration than this version.
+    /// Returns true if a newer configuration than this version is known.
     pub(super) fn is_older_than_known(&self, version: ConfigVersion) -> bool {
         self.freshness.borrow().newest() > Some(version)
     }
 
-    /// Whether a peer told of a newer configuration than the one in force.
+    /// Returns true if a newer configuration than the one in force is known.
     pub fn is_behind(&self) -> bool {
         self.freshness.borrow().is_behind()
     }
 
-    /// Ends once no newer configuration than the one in force is known.
+    /// Waits until no newer configuration than the one in force is known.
     pub async fn wait_until_current(&self) {
         loop {
-            let learned = self.learned.notified();
+            let data_changed = self.data_changed.notified();
             if !self.is_behind() {
                 return;
             }
-            learned.await;
+            data_changed.await;
         }
     }
 
-    /// Ends once a later start of `replica` is known.
+    /// Waits until a later start of `replica` is known.
     pub async fn wait_for_restart(&self, node: &Node, replica: &Replica) {
         loop {
             let notified = self.replica_restarted.notified();
@@ -168,52 +172,52 @@
         }
     }
 
-    /// A peer has read the replicas.
-    pub fn on_peer_replicas(&self, node: &Node, told: ReplicasNotice) {
+    /// Handles the notice that a peer has read the replica list.
+    pub fn on_peer_replicas(&self, node: &Node, notice: ReplicasNotice) {
         let Some((known, _)) = self.confirmed.get() else {
             return;
         };
-        if told.cursor.era < known.era {
+        if notice.cursor.era < known.era {
             return;
         }
-        on_notified_era(node, told.cursor.era);
+        on_notified_era(node, notice.cursor.era);
         let fingerprint = || node.with(|state| state.replicas.fingerprint());
         let own = fingerprint();
-        if own != told.after && own == told.before {
-            take_changes(node, told.changes);
+        if own != notice.after && own == notice.before {
+            apply_changes(node, notice.changes);
         }
-        if fingerprint() != told.after {
-            self.notified_replicas
-                .set(self.notified_replicas.get().max(Some(told.cursor)));
-            if self.misses_replicas() {
-                self.other_replicas.notify_one();
+        if fingerprint() != notice.after {
+            self.peer_cursor
+                .set(self.peer_cursor.get().max(Some(notice.cursor)));
+            if self.peer_has_read_more() {
+                self.replicas_differ.notify_one();
             }
             return;
         }
         let now_ms = node.now_ms();
         node.with(|state| state.replicas.on_directory_read(now_ms));
-        let cursor = known.max(told.cursor);
+        let cursor = known.max(notice.cursor);
         self.confirmed.set(Some((cursor, now_ms)));
     }
 
-    /// Whether a peer has read more of the replicas than this node knows. One that has read less, or
-    /// as much and judged it otherwise, has nothing to tell by a read: 195 tables that differed for
-    /// the moment of a start made each other read four times a second.
-    pub(super) fn misses_replicas(&self) -> bool {
-        self.notified_replicas.get() > self.cursor()
+    /// Returns true if a peer with a differing table has read more of the replica list than this node
+    /// knows. If the peer has read less, or as much with another judgement, a read would bring nothing
+    /// new: 195 tables that differed briefly during a start made each other read four times a second.
+    pub(super) fn peer_has_read_more(&self) -> bool {
+        self.peer_cursor.get() > self.cursor()
     }
 
-    /// This node has read the replicas up to `cursor`.
+    /// Records that this node has read the replica list up to `cursor`.
     pub(super) fn on_own_read(&self, cursor: Cursor, now_ms: MonoMs) {
         self.confirmed.set(Some((cursor, now_ms)));
     }
 
-    /// Where to read on.
+    /// Returns the position from which the next read continues. `None` before the first read.
     pub(super) fn cursor(&self) -> Option<Cursor> {
         self.confirmed.get().map(|(cursor, _)| cursor)
     }
 
-    /// How long ago the table was known to be right.
+    /// Returns the time since the table was last confirmed. `None` before the first read.
     pub(super) fn age_ms(&self, now_ms: MonoMs) -> Option<SpanMs> {
         self.confirmed.get().map(|(_, at_ms)| now_ms.since(at_ms))
     }
