--- a/crates/front/src/copies/serve.rs
+++ b/crates/front/src/copies/serve.rs
@@ -1,7 +1,7 @@
 //! Handing out copies.
 
 use super::HOLD_MS;
-use crate::node::{Node, accept, note_end};
+use crate::node::{Node, accept, log_connection_end};
 use bluebell_base::prelude::*;
 use bytes::Bytes as Buffer;
 use http_body_util::Full;
@@ -37,7 +37,7 @@
                 .timer(TokioTimer::new())
                 .header_read_timeout(Some(Duration::from(HEADER_MS)));
             let connection = builder.serve_connection(TokioIo::new(stream), service);
-            note_end(connection.await);
+            log_connection_end(connection.await);
         });
     }
 }
--- a/crates/front/src/node/clock.rs
+++ b/crates/front/src/node/clock.rs
@@ -3,26 +3,27 @@
 use bluebell_base::prelude::*;
 use tokio::time::Instant;
 
-/// Milliseconds since the node started; cheap to copy.
+/// A monotonic clock in milliseconds that starts with the node. It is cheap to copy.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
 }
 
 impl Clock {
-    /// How far after 0 a node's time begins, so that spans can be taken off it.
-    const HEAD_START_MS: u64 = 600_000;
+    /// The reading of the clock when it starts. It is above 0 so that spans can be subtracted from early
+    /// instants.
+    const START_MS: u64 = 600_000;
 
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     pub fn open() -> Self {
         Self {
             origin: Instant::now(),
         }
     }
 
-    /// The instant now.
+    /// Returns the current instant.
     pub fn now_ms(&self) -> MonoMs {
         let since = Instant::now().saturating_duration_since(self.origin);
-        MonoMs(Self::HEAD_START_MS + since.as_millis() as u64)
+        MonoMs(Self::START_MS + since.as_millis() as u64)
     }
 }
--- a/crates/front/src/node/listen.rs
+++ b/crates/front/src/node/listen.rs
@@ -1,7 +1,7 @@
-//! Accepting callers' connections, and the pages of the node's own.
+//! Accepts callers' connections, and serves the node's own pages: readiness, metrics and quarantine.
 //!
-//! Invariants: a connection is closed only between two answers, but for one whose caller is gone;
-//! an error of accepting never ends the listener.
+//! Invariants: a connection is closed only between two answers, unless its caller is gone; an error of
+//! accepting never ends the listener.
 
 use super::Node;
 use crate::call::{self, Answer};
@@ -21,40 +21,40 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-/// The pause after an error of accepting, such as too many open files: the cause passes as
-/// connections close, and accepting at once would spin.
+/// The pause after an error of accepting, such as too many open files. The cause passes as connections
+/// close, and retrying at once would spin.
 const ACCEPT_PAUSE_MS: SpanMs = SpanMs(20);
 
-/// The largest head before a configuration says otherwise.
-const HEAD_BYTES: usize = 16 * 1024;
+/// The maximum size of a request head before a configuration is in force, in bytes.
+const DEFAULT_HEAD_BYTES: usize = 16 * 1024;
 
-/// The smallest buffer that the HTTP library allows.
-const LEAST_HEAD_BYTES: usize = 8 * 1024;
+/// The minimum buffer size that the HTTP library allows, in bytes.
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
 
-/// How long an idle connection is kept before a configuration says otherwise.
-const IDLE_MS: SpanMs = SpanMs(15_000);
+/// The time for which an idle connection is kept before a configuration is in force.
+const DEFAULT_IDLE_MS: SpanMs = SpanMs(15_000);
 
-/// How much longer than the operators' limit an idle connection is kept, so that a caller that
-/// reuses it at the last moment doesn't meet a close.
+/// The time for which an idle connection is kept beyond the operators' limit, so that a caller that
+/// reuses it at the last moment doesn't find it closed.
 const IDLE_MARGIN_MS: SpanMs = SpanMs(3_000);
 
-/// Where the metrics are.
+/// The path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 
-/// Where the requests in quarantine are.
+/// The path of the requests in quarantine.
 const QUARANTINE_PATH: &str = "/quarantine";
 
-/// Counts a connection for as long as it lives.
-struct Counted(Rc<Cell<usize>>);
+/// A guard that counts a connection for as long as it is open.
+struct ConnectionGuard(Rc<Cell<usize>>);
 
-impl Counted {
+impl ConnectionGuard {
     fn new(connections: Rc<Cell<usize>>) -> Self {
         connections.set(connections.get() + 1);
         Self(connections)
     }
 }
 
-impl Drop for Counted {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -64,39 +64,40 @@
 pub async fn serve_callers(node: Rc<Node>, listener: TcpListener, connections: Rc<Cell<usize>>) {
     loop {
         let stream = accept(&listener).await;
-        let counted = Counted::new(connections.clone());
+        let guard = ConnectionGuard::new(connections.clone());
         let node = node.clone();
         spawn_local(async move {
             serve_connection(node, stream).await;
-            drop(counted);
+            drop(guard);
         });
     }
 }
 
-/// Accepts a connection; errors are waited out.
+/// Accepts a connection. Pauses after an error and tries again.
 pub(crate) async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 if let Err(error) = stream.set_nodelay(true) {
-                    log::debug!("a new connection is gone already: {error}");
+                    log::debug!("a new connection was closed before it was served: {error}");
                     continue;
                 }
                 return stream;
             }
             Err(error) => {
-                log::warn!("can't accept a connection: {error}");
+                log::warn!("failed to accept a connection: {error}");
                 tokio::time::sleep(Duration::from(ACCEPT_PAUSE_MS)).await;
             }
         }
     }
 }
 
+/// Serves one caller's connection until it closes. Shuts it down gracefully during a planned stop.
 async fn serve_connection(node: Rc<Node>, stream: TcpStream) {
     let limits = node.with(|state| state.config.as_ref().map(|c| c.limits()));
-    let head_bytes = limits.map_or(HEAD_BYTES, |l| l.head_bytes.0 as usize);
-    let idle_ms = limits.map_or(IDLE_MS, |l| l.idle_timeout_ms) + IDLE_MARGIN_MS;
-    let stop = noticed_stop(node.clone());
+    let head_bytes = limits.map_or(DEFAULT_HEAD_BYTES, |l| l.head_bytes.0 as usize);
+    let idle_ms = limits.map_or(DEFAULT_IDLE_MS, |l| l.idle_timeout_ms) + IDLE_MARGIN_MS;
+    let stop = wait_for_noticed_stop(node.clone());
     let service = service_fn(move |request| {
         let node = node.clone();
         async move { Ok::<Answer, Infallible>(call::serve(node, request).await) }
@@ -104,25 +105,25 @@
     let mut builder = http1::Builder::new();
     builder
         .auto_date_header(false)
-        .max_buf_size(head_bytes.max(LEAST_HEAD_BYTES))
+        .max_buf_size(head_bytes.max(MIN_BUFFER_BYTES))
         .timer(TokioTimer::new())
         .header_read_timeout(Some(Duration::from(idle_ms)));
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     tokio::pin!(stop);
     tokio::select! {
-        result = connection.as_mut() => return note_end(result),
+        result = connection.as_mut() => return log_connection_end(result),
         () = &mut stop => connection.as_mut().graceful_shutdown(),
     }
-    note_end(connection.await);
+    log_connection_end(connection.await);
 }
 
-/// Waits for a planned stop that the balancer has noticed.
-async fn noticed_stop(node: Rc<Node>) {
+/// Waits for a planned stop, and then until the balancer has noticed it.
+async fn wait_for_noticed_stop(node: Rc<Node>) {
     let mut signal = node.stop_signal();
     let plan = match signal.wait_for(Option::is_some).await {
         Ok(plan) => *plan,
-        // The node is gone, which ends its connections as well.
+        // The node was dropped, which also ends its connections.
         Err(_) => None,
     };
     if let Some(plan) = plan {
@@ -131,17 +132,17 @@
     }
 }
 
-/// Notes how a connection ended.
-pub(crate) fn note_end(result: Result<(), hyper::Error>) {
+/// Logs the error with which a connection ended, if any.
+pub(crate) fn log_connection_end(result: Result<(), hyper::Error>) {
     if let Err(error) = result {
-        log::trace!("a caller's connection ended: {error}");
+        log::trace!("a connection ended with an error: {error}");
     }
 }
 
-/// What a page of the node's own answers to a method and a path.
+/// A handler of one of the node's own pages. Returns the answer to a method and a path.
 pub(crate) type Page = fn(&Rc<Node>, &Method, &str) -> (StatusCode, String);
 
-/// Serves a page of the node's own until the process ends.
+/// Serves one of the node's own pages until the process ends.
 pub async fn serve_page(node: Rc<Node>, listener: TcpListener, page: Page) {
     loop {
         let stream = accept(&listener).await;
@@ -155,7 +156,7 @@
         spawn_local(async move {
             let mut builder = http1::Builder::new();
             builder.auto_date_header(false);
-            note_end(
+            log_connection_end(
                 builder
                     .serve_connection(TokioIo::new(stream), service)
                     .await,
@@ -164,7 +165,7 @@
     }
 }
 
-/// What the balancer asks: whether the node wants new connections.
+/// Answers the balancer's readiness probe: the status is 200 if the node accepts new connections.
 pub fn ready_page(node: &Rc<Node>, _: &Method, path: &str) -> (StatusCode, String) {
     let status = match (path == node.platform.dialect.ready_path(), node.is_ready()) {
         (true, true) => StatusCode::OK,
@@ -174,36 +175,38 @@
     (status, String::new())
 }
 
-/// What those on call read and order: metrics, and the requests in quarantine.
+/// Serves operators: the metrics, the list of requests in quarantine, and orders to lift a quarantine.
 pub fn operators_page(node: &Rc<Node>, method: &Method, path: &str) -> (StatusCode, String) {
     if path == METRICS_PATH {
-        return metrics(node);
+        return metrics_page(node);
     }
     let digest = path
         .strip_prefix(QUARANTINE_PATH)
         .map(|rest| rest.strip_prefix('/'));
     match (method, digest) {
-        (&Method::GET, Some(None)) if path == QUARANTINE_PATH => quarantined(node),
+        (&Method::GET, Some(None)) if path == QUARANTINE_PATH => quarantine_page(node),
         (&Method::DELETE, Some(Some(digest))) => lift(node, digest),
         _ => (StatusCode::NOT_FOUND, String::new()),
     }
 }
 
-fn metrics(node: &Node) -> (StatusCode, String) {
+/// Renders the metrics.
+fn metrics_page(node: &Node) -> (StatusCode, String) {
     match node.journal.metrics().render() {
         Ok(text) => (StatusCode::OK, text),
         Err(error) => (StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
     }
 }
 
-fn quarantined(node: &Node) -> (StatusCode, String) {
+/// Lists the requests in quarantine as JSON.
+fn quarantine_page(node: &Node) -> (StatusCode, String) {
     match serde_json::to_string(&quarantine::list(node)) {
         Ok(text) => (StatusCode::OK, text),
         Err(error) => (StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
     }
 }
 
-/// Lifts a request's quarantine.
+/// Lifts the quarantine of the request with this digest.
 fn lift(node: &Rc<Node>, digest: &str) -> (StatusCode, String) {
     let digest: RequestDigest = match digest.parse() {
         Ok(digest) => digest,
--- a/crates/front/src/node/mod.rs
+++ b/crates/front/src/node/mod.rs
@@ -1,6 +1,6 @@
 //! One node: its state, its listeners and its planned stop.
 //!
-//! Invariants: `Node`'s state is borrowed only between two awaits, never across one.
+//! Invariants: the state in `Node` is never borrowed across an await.
 
 mod clock;
 mod listen;
@@ -8,6 +8,6 @@
 mod state;
 
 pub use clock::Clock;
-pub(crate) use listen::{accept, note_end};
+pub(crate) use listen::{accept, log_connection_end};
 pub use run::{FrontError, FrontHandle, FrontSettings, Stopper};
 pub use state::{Node, State};
--- a/crates/front/src/node/run.rs
+++ b/crates/front/src/node/run.rs
@@ -1,4 +1,4 @@
-//! Starting a node, and its planned stop.
+//! Starts a node and runs it until its planned stop.
 
 use super::{Node, listen};
 use crate::journal::{Event, Journal, JournalWriter};
@@ -16,52 +16,52 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// How often a stopping node looks whether its last connection is gone.
+/// The interval at which a stopping node checks whether its last connection is closed.
 const STOP_POLL_MS: SpanMs = SpanMs(50);
 
-/// How often kept connections and old work are looked through.
-const EXPIRE_EVERY_MS: SpanMs = SpanMs(500);
+/// The interval at which idle connections and old work are expired.
+const EXPIRE_INTERVAL_MS: SpanMs = SpanMs(500);
 
-/// How long work may be in flight before it is taken for forgotten: the longest that callers wait,
-/// and more.
-const WORK_EXPIRES_MS: SpanMs = SpanMs(60_000);
+/// The age at which work in flight is dropped, because no end of it was reported. Callers never wait
+/// that long.
+const MAX_WORK_AGE_MS: SpanMs = SpanMs(60_000);
 
 /// The settings of a node's serving path.
 #[derive(Clone, Debug)]
 pub struct FrontSettings {
     /// The node's name.
     pub name: VmName,
-    /// Its failure domain.
+    /// The node's failure domain.
     pub domain: DomainName,
-    /// Where callers connect.
+    /// The address to which callers connect.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether the node is ready.
+    /// The address of the balancer's readiness probe.
     pub ready: SocketAddr,
-    /// Where peers send their gossip, by datagram, and ask for copies, by connection.
+    /// The address to which peers send gossip by datagram, and connect for copies of the configuration.
     pub gossip: SocketAddr,
-    /// Where metrics are read.
+    /// The address of the operators' page, with the metrics and the requests in quarantine.
     pub metrics: SocketAddr,
-    /// The limits of retries, for all nodes together.
+    /// The retry limits, for all nodes together.
     pub retry_limits: RetryLimits,
-    /// How long a stopping node may take.
+    /// The maximum duration of a planned stop.
     pub grace_ms: SpanMs,
 }
 
-/// Why a node can't start.
+/// An error that keeps a node from starting or running.
 #[derive(Debug, thiserror::Error)]
 pub enum FrontError {
-    /// An address can't be bound.
+    /// An address couldn't be bound.
     #[error("can't listen at {address}: {reason}")]
     Bind {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// The system's error.
         reason: Arc<str>,
     },
-    /// The metrics can't be opened.
+    /// The metrics couldn't be set up.
     #[error(transparent)]
     Metrics(#[from] MetricsError),
-    /// Signals can't be received.
+    /// A signal handler couldn't be installed.
     #[error("can't receive signals: {0}")]
     Signals(Arc<str>),
 }
@@ -74,19 +74,22 @@
     stop: Rc<Notify>,
 }
 
-/// Begins a node's planned stop.
+/// A handle that begins a node's planned stop.
 #[derive(Clone, Debug)]
 pub struct Stopper(Rc<Notify>);
 
 impl Stopper {
-    /// Begins the stop; a second time changes nothing.
+    /// Begins the stop. Further calls have no effect.
     pub fn stop(&self) {
         self.0.notify_one();
     }
 }
 
 impl FrontHandle {
-    /// Binds the addresses and starts the tasks, on the current local task set.
+    /// Binds the addresses and starts the node's tasks on the current local task set.
+    ///
+    /// # Errors
+    /// [`FrontError`] if an address can't be bound or the metrics can't be set up.
     pub async fn spawn(
         mut settings: FrontSettings,
         platform: Platform,
@@ -132,17 +135,20 @@
         })
     }
 
-    /// The settings, with the ports that the system picked.
+    /// Returns the settings, with the ports that the system picked in place of port 0.
     pub fn settings(&self) -> &FrontSettings {
         &self.node.settings
     }
 
-    /// Begins the node's planned stop from elsewhere than a signal.
+    /// Returns a handle that begins the planned stop without a signal.
     pub fn stopper(&self) -> Stopper {
         Stopper(self.stop.clone())
     }
 
-    /// Runs until a planned stop has ended.
+    /// Runs the node until a planned stop has ended.
+    ///
+    /// # Errors
+    /// [`FrontError::Signals`] if a signal handler can't be installed.
     pub async fn run(self) -> Result<(), FrontError> {
         let receive = |kind| signal(kind).map_err(|e| FrontError::Signals(e.to_string().into()));
         let mut terminate = receive(SignalKind::terminate())?;
@@ -160,6 +166,7 @@
         Ok(())
     }
 
+    /// Performs the planned stop: waits for connections to close, up to the plan's end.
     async fn stop(self) {
         let node = &self.node;
         let open = self.connections.get();
@@ -180,16 +187,16 @@
     }
 }
 
-/// The longest queue of new connections, for bursts of callers that all come back at once.
-const BACKLOG: u32 = 1024;
+/// The maximum length of the queue of new connections, for bursts of callers that reconnect at once.
+const BACKLOG_CONNECTIONS: u32 = 1024;
 
-/// Listens at `address`, and notes the port where the system picked it.
+/// Listens at `address`, and writes the port back if the system picked it.
 fn bind_tcp(address: &mut SocketAddr) -> Result<TcpListener, FrontError> {
     let bind = || {
         let socket = tokio::net::TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(*address)?;
-        let listener = socket.listen(BACKLOG)?;
+        let listener = socket.listen(BACKLOG_CONNECTIONS)?;
         Ok((listener.local_addr()?, listener))
     };
     let (bound, listener) = bind().map_err(|error| cannot_bind(*address, &error))?;
@@ -197,10 +204,10 @@
     Ok(listener)
 }
 
-/// How often another port is tried where the system's pick is taken for the other protocol.
+/// The number of ports tried if the port that the system picked for TCP is in use for UDP.
 const PORT_TRIES: usize = 16;
 
-/// Binds one port for datagrams and connections of peers, and notes it where the system picked it.
+/// Binds one port for peers' datagrams and connections, and writes it back if the system picked it.
 async fn bind_for_peers(address: &mut SocketAddr) -> Result<(UdpSocket, TcpListener), FrontError> {
     let mut tries = if address.port() == 0 { PORT_TRIES } else { 1 };
     loop {
@@ -228,10 +235,11 @@
     }
 }
 
-/// Closes connections that were kept for too long and forgets work that nobody ended.
+/// Expires idle connections and old state at regular intervals. Also flushes the log and reports the
+/// configuration's lag.
 async fn expire(node: Rc<Node>) {
     loop {
-        tokio::time::sleep(Duration::from(EXPIRE_EVERY_MS)).await;
+        tokio::time::sleep(Duration::from(EXPIRE_INTERVAL_MS)).await;
         node.pool.expire();
         node.journal.flush();
         quarantine::expire(&node);
@@ -239,7 +247,7 @@
         node.directory_watch.report_lag(&node);
         let now_ms = node.now_ms();
         let dropped = node.with(|state| {
-            state.ledger.expire(now_ms - WORK_EXPIRES_MS);
+            state.ledger.expire(now_ms - MAX_WORK_AGE_MS);
             state.paces.expire(now_ms);
             state.replica_backoffs.expire(now_ms);
             state.replicas.expire(now_ms)
--- a/crates/front/src/node/state.rs
+++ b/crates/front/src/node/state.rs
@@ -1,4 +1,4 @@
-//! What a node believes, and the parts that its tasks share.
+//! A node's decision state, and the components that its tasks share.
 
 use super::{Clock, FrontSettings};
 use crate::copies::Copies;
@@ -16,50 +16,50 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// What the node believes.
+/// The state on which the node bases its decisions.
 #[derive(Debug)]
 pub struct State {
-    /// The configuration in force; none before the first.
+    /// The configuration in force. `None` before the first.
     pub config: Option<Rc<ServingConfig>>,
-    /// The replicas.
+    /// The table of replicas.
     pub replicas: ReplicaTable,
-    /// All work in flight on engines.
+    /// All work in flight on engines, of this node and of its peers.
     pub ledger: Ledger,
-    /// How slow engines are.
+    /// The paces of engines.
     pub paces: Paces,
-    /// How many requests replicas take that named a limit.
+    /// The request rate limits that replicas set.
     pub limits: Limits,
-    /// The replicas that want no requests from this node for a while.
+    /// The replicas that are backing off from this node's requests.
     pub replica_backoffs: ReplicaBackoffs,
-    /// This node's calls in hand, by plain replica.
+    /// The number of this node's calls in flight, by plain replica.
     pub calls: FxHashMap<ReplicaKey, u32>,
     /// This node's share of the retry budget.
     pub budget: RetryBudget,
-    /// The requests that end replicas.
+    /// The requests that are suspected of being fatal or are in quarantine.
     pub quarantine: Quarantine,
 }
 
-/// A node's state, and what its tasks share.
+/// A node, with its state and the components that its tasks share.
 pub struct Node {
-    /// Its settings.
+    /// The settings.
     pub settings: FrontSettings,
-    /// This run of it.
+    /// The random id of this run of the node.
     pub owner: OwnerId,
-    /// Its clock.
+    /// The monotonic clock.
     pub clock: Clock,
-    /// The platform.
+    /// The platform that the node runs on.
     pub platform: Platform,
-    /// Kept connections to replicas.
+    /// The pool of connections to replicas and peers.
     pub pool: Rc<Pool>,
-    /// Its looks at replicas whose connections broke.
+    /// The checks of replicas whose connections broke.
     pub crash_checks: CrashChecks,
-    /// Gossip for its peers.
+    /// The queue of gossip, and the peer table.
     pub outbox: Outbox,
-    /// The text of its configuration, for its peers.
+    /// The text of the configuration in force, for peers that copy it.
     pub copies: Copies,
-    /// What its watchers of the directory share.
+    /// The state that the directory watchers share.
     pub directory_watch: DirectoryWatch,
-    /// Its log of decisions.
+    /// The log of decisions.
     pub journal: Journal,
     state: RefCell<State>,
     sequence: Cell<u32>,
@@ -68,7 +68,7 @@
 }
 
 impl Node {
-    /// A node that knows nothing yet.
+    /// Creates a node with empty state.
     pub fn open(settings: FrontSettings, platform: Platform, journal: Journal) -> Rc<Self> {
         let clock = Clock::open();
         let state = State {
@@ -100,22 +100,22 @@
         })
     }
 
-    /// The instant now.
+    /// Returns the current instant of the node's clock.
     pub fn now_ms(&self) -> MonoMs {
         self.clock.now_ms()
     }
 
-    /// Looks at or changes what the node believes.
+    /// Runs `change` on the decision state and returns its result.
     pub fn with<T>(&self, change: impl FnOnce(&mut State) -> T) -> T {
         change(&mut self.state.borrow_mut())
     }
 
-    /// The version of the configuration in force; none before the first.
+    /// Returns the version of the configuration in force. `None` before the first.
     pub fn config_version(&self) -> Option<ConfigVersion> {
         self.with(|state| state.config.as_ref().map(|config| config.version()))
     }
 
-    /// A number for a new piece of work.
+    /// Returns the id of a new piece of work.
     pub fn next_work_id(&self) -> WorkId {
         let sequence = self.sequence.get().wrapping_add(1);
         self.sequence.set(sequence);
@@ -125,19 +125,19 @@
         }
     }
 
-    /// The list of replicas has been read.
+    /// Records that the replica list was read.
     pub fn on_replicas_read(&self) {
         self.replicas_read.set(true);
         self.directory_watch.data_changed.notify_waiters();
     }
 
-    /// Whether the node has read what it needs to serve.
+    /// Returns true if the node has read a configuration and the replica list, and can serve.
     pub fn is_initialized(&self) -> bool {
         let known = self.with(|state| state.config.is_some());
         known && self.replicas_read.get()
     }
 
-    /// Ends once the node has read what it needs to serve.
+    /// Waits until the node has read a configuration and the replica list.
     pub async fn wait_until_initialized(&self) {
         loop {
             let data_changed = self.directory_watch.data_changed.notified();
@@ -148,36 +148,37 @@
         }
     }
 
-    /// Whether the node wants new connections.
+    /// Returns true if the node accepts new connections.
     pub fn is_ready(&self) -> bool {
         self.is_initialized() && !self.is_stopping()
     }
 
-    /// Whether a planned stop is under way.
+    /// Returns true during a planned stop.
     pub fn is_stopping(&self) -> bool {
         self.stopping.borrow().is_some()
     }
 
-    /// Begins a planned stop.
+    /// Begins a planned stop and returns its plan.
     pub fn begin_stop(&self) -> StopPlan {
         let plan = StopPlan::begin(self.now_ms(), self.settings.grace_ms);
         self.stopping.send_replace(Some(plan));
         plan
     }
 
-    /// Tells of a planned stop.
+    /// Returns a receiver that is notified when a planned stop begins.
     pub fn stop_signal(&self) -> watch::Receiver<Option<StopPlan>> {
         self.stopping.subscribe()
     }
 
-    /// Whether a request that may last until `deadline_ms` is taken.
+    /// Returns true if a request that may last until `deadline_ms` is accepted. Outside a planned stop
+    /// it always is.
     pub fn accepts(&self, deadline_ms: MonoMs) -> bool {
         let now_ms = self.now_ms();
         let plan = *self.stopping.borrow();
         plan.is_none_or(|plan| plan.accepts(deadline_ms, now_ms))
     }
 
-    /// How many nodes share the fleet, this one included.
+    /// Returns the number of nodes that share the fleet, including this one and silent peers.
     pub fn node_count(&self) -> usize {
         self.outbox.peer_count() + 1
     }
