--- a/crates/front/src/copies/fetch.rs
+++ b/crates/front/src/copies/fetch.rs
@@ -1,7 +1,7 @@
-//! Asking a peer for a copy.
+//! Fetches a copy of the configuration from a peer.
 
 use super::serve::PATH;
-use super::{HOLD_MS, TEXT_BYTES};
+use super::{HOLD_MS, MAX_TEXT_BYTES};
 use crate::http::{Freshness, SendError};
 use crate::node::Node;
 use crate::platform::DirectoryError;
@@ -15,37 +15,38 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a peer may be silent beyond the time for which it may hold an answer back.
+/// The time for which a peer may be silent, beyond the time for which it may hold an answer back.
 const SILENT_MS: SpanMs = SpanMs(400);
 
-/// The packed text of one version.
+/// The compressed text of one version.
 #[derive(Clone, Debug)]
 pub struct ConfigCopy(pub(super) Buffer);
 
-/// Why a peer gave no copy.
+/// An error of fetching a copy from a peer.
 #[derive(Debug, thiserror::Error)]
 pub enum CopyError {
     /// The connection failed.
     #[error(transparent)]
     Send(#[from] SendError),
-    /// It fell silent.
+    /// The peer sent nothing in time.
     #[error("the peer is silent")]
     Silent,
-    /// It has no newer version, or none to hand out.
+    /// The peer has no newer version, or can't provide it.
     #[error("the peer answered with status {0}")]
     Status(u16),
-    /// The answer broke off.
+    /// The connection broke during the answer.
     #[error("the copy broke off: {0}")]
     Broken(Arc<str>),
-    /// It can't be unpacked.
+    /// The copy can't be decompressed.
     #[error("the copy can't be unpacked: {0}")]
-    Packed(Arc<str>),
-    /// It is no configuration.
+    Compression(Arc<str>),
+    /// The text isn't a valid configuration.
     #[error(transparent)]
     Text(#[from] DirectoryError),
 }
 
-/// Asks the peer at `address` for a version that is newer than `held`.
+/// Requests a version newer than `held` from the peer at `address`. Returns the configuration, and its
+/// copy to serve to other peers.
 pub async fn fetch(
     node: &Node,
     address: SocketAddr,
@@ -57,11 +58,11 @@
     if answer.status() != StatusCode::OK {
         return Err(CopyError::Status(answer.status().as_u16()));
     }
-    let packed = read(answer.into_body()).await?;
-    let text = miniz_oxide::inflate::decompress_to_vec_zlib_with_limit(&packed, TEXT_BYTES);
-    let text = text.map_err(|error| CopyError::Packed(error.to_string().into()))?;
+    let compressed = read(answer.into_body()).await?;
+    let text = miniz_oxide::inflate::decompress_to_vec_zlib_with_limit(&compressed, MAX_TEXT_BYTES);
+    let text = text.map_err(|error| CopyError::Compression(error.to_string().into()))?;
     let config = node.platform.dialect.config(&text)?;
-    Ok((config, ConfigCopy(packed)))
+    Ok((config, ConfigCopy(compressed)))
 }
 
 fn request(address: SocketAddr, held: ConfigVersion) -> Request<Full<Buffer>> {
@@ -72,9 +73,9 @@
         .expect("the parts of a request are valid")
 }
 
-/// Reads a copy for as long as it moves.
+/// Reads the body of a copy. Fails if no data arrives for [`SILENT_MS`].
 async fn read(body: Incoming) -> Result<Buffer, CopyError> {
-    let mut body = Limited::new(body, TEXT_BYTES);
+    let mut body = Limited::new(body, MAX_TEXT_BYTES);
     let mut whole = BytesMut::new();
     while let Some(frame) = within(SILENT_MS, body.frame()).await? {
         let frame = frame.map_err(|error| CopyError::Broken(error.to_string().into()))?;
@@ -85,6 +86,7 @@
     Ok(whole.freeze())
 }
 
+/// Runs `part` with a time limit.
 async fn within<T>(limit_ms: SpanMs, part: impl Future<Output = T>) -> Result<T, CopyError> {
     let result = tokio::time::timeout(Duration::from(limit_ms), part).await;
     result.map_err(|_| CopyError::Silent)
--- a/crates/front/src/copies/mod.rs
+++ b/crates/front/src/copies/mod.rs
@@ -1,18 +1,18 @@
-//! Copies of the configuration that nodes hand each other.
+//! Copies of the configuration that nodes fetch from each other.
 //!
-//! Terms: a *copy* is the operators' text of one version, packed; an asker names the version that it
-//! *holds*.
+//! Terms: a *copy* is the operators' text of one version, compressed; the version that a requesting node
+//! *holds* is the one that it has in force.
 //!
-//! Load pattern: all nodes of a failure domain ask for a version within a second of its being written,
+//! Load pattern: all nodes of a failure domain request a version within a second of its being written,
 //! some of them before the node that they ask has it.
 //!
-//! Reason for the limits: texts of thousands of alike routes pack to a tenth, so that nodes with small
-//! links can serve their children at once. A node that doesn't have the version yet lets the asker wait
-//! for it, which costs no second call; one that doesn't get it soon says so, and the asker turns
-//! elsewhere.
+//! Reason for the limits: texts of thousands of similar routes compress to a tenth, so that nodes with
+//! slow links can serve all their children at once. A node that doesn't have the version yet holds the
+//! request open for it, which saves a second call. If the version doesn't arrive soon it answers so, and
+//! the requesting node tries another peer.
 //!
-//! Invariants: a copy is checked by its checksum and by being read; its version is the text's own, so that
-//! a wrong one can't be taken for newer than it is.
+//! Invariants: a copy is verified by its checksum and by parsing it. Its version is read from the text
+//! itself, so that a wrong copy can't pass for a newer version than it is.
 
 mod fetch;
 mod serve;
@@ -24,49 +24,54 @@
 use bytes::Bytes as Buffer;
 use std::cell::RefCell;
 
-/// How long a node that is asked for a newer version than it has waits for it.
+/// The time for which a node holds a request open for a version that it doesn't have yet.
 const HOLD_MS: SpanMs = SpanMs(400);
 
-/// The largest text.
-const TEXT_BYTES: usize = 8 * 1024 * 1024;
+/// The maximum size of a text, compressed or not, in bytes.
+const MAX_TEXT_BYTES: usize = 8 * 1024 * 1024;
 
-/// How hard texts are packed; the lowest level packs alike routes nearly as small as the highest.
-const PACK_LEVEL: u8 = 1;
+/// The compression level. The lowest compresses similar routes nearly as well as the highest.
+const COMPRESSION_LEVEL: u8 = 1;
 
-/// The text of the version in force, for nodes that ask for it.
+/// The text of the version in force, for peers that request it.
 #[derive(Debug, Default)]
 pub struct Copies {
     text: RefCell<Option<Text>>,
 }
 
+/// The text of a version, in one of two forms.
 #[derive(Clone, Debug)]
 enum Text {
-    /// As the directory gave it.
+    /// The text as the directory sent it.
     Plain(Buffer),
-    /// As nodes hand it on.
-    Packed(Buffer),
+    /// The compressed text, as nodes send it.
+    Compressed(Buffer),
 }
 
 impl Copies {
-    /// The version in force was read from the directory as this text, if that is known.
+    /// Records that the version in force was read from the directory. `text` is `None` if the version
+    /// can't be copied.
     pub fn on_read(&self, text: Option<Buffer>) {
         self.text.replace(text.map(Text::Plain));
     }
 
-    /// The version in force was copied from a peer.
+    /// Records that the version in force was copied from a peer.
     pub fn on_copied(&self, copy: ConfigCopy) {
-        self.text.replace(Some(Text::Packed(copy.0)));
+        self.text.replace(Some(Text::Compressed(copy.0)));
     }
 
-    /// The packed text. It is packed when it is first asked for: most nodes are never asked.
-    fn packed(&self) -> Option<Buffer> {
+    /// Returns the compressed text. It is compressed at the first request, since most nodes never get
+    /// one.
+    fn compressed(&self) -> Option<Buffer> {
         let mut text = self.text.borrow_mut();
-        let packed = match text.as_ref()? {
-            Text::Packed(packed) => return Some(packed.clone()),
-            Text::Plain(plain) => miniz_oxide::deflate::compress_to_vec_zlib(plain, PACK_LEVEL),
+        let compressed = match text.as_ref()? {
+            Text::Compressed(compressed) => return Some(compressed.clone()),
+            Text::Plain(plain) => {
+                miniz_oxide::deflate::compress_to_vec_zlib(plain, COMPRESSION_LEVEL)
+            }
         };
-        let packed = Buffer::from(packed);
-        *text = Some(Text::Packed(packed.clone()));
-        Some(packed)
+        let compressed = Buffer::from(compressed);
+        *text = Some(Text::Compressed(compressed.clone()));
+        Some(compressed)
     }
 }
--- a/crates/front/src/copies/serve.rs
+++ b/crates/front/src/copies/serve.rs
@@ -1,4 +1,4 @@
-//! Handing out copies.
+//! Serves copies of the configuration to peers.
 
 use super::HOLD_MS;
 use crate::node::{Node, accept, log_connection_end};
@@ -15,11 +15,12 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-/// Where copies are asked for; the version that the asker holds follows.
+/// The path prefix of copies. The version that the requesting node holds follows it.
 pub(super) const PATH: &str = "/config/";
 
-/// How long a connection may be open without a whole request: a peer that was cut off closes none.
-const HEADER_MS: SpanMs = SpanMs(5_000);
+/// The time within which a connection must receive a complete request head. A peer that was cut off
+/// never closes its connection.
+const HEADER_TIMEOUT_MS: SpanMs = SpanMs(5_000);
 
 /// Serves copies to peers until the process ends.
 pub async fn serve_copies(node: Rc<Node>, listener: TcpListener) {
@@ -35,13 +36,14 @@
             builder
                 .auto_date_header(false)
                 .timer(TokioTimer::new())
-                .header_read_timeout(Some(Duration::from(HEADER_MS)));
+                .header_read_timeout(Some(Duration::from(HEADER_TIMEOUT_MS)));
             let connection = builder.serve_connection(TokioIo::new(stream), service);
             log_connection_end(connection.await);
         });
     }
 }
 
+/// Answers a request for a copy: 200 with the copy, or 204 if there is no newer version in time.
 async fn answer<B>(node: &Node, request: &Request<B>) -> Response<Full<Buffer>> {
     let path = request.uri().path().strip_prefix(PATH);
     let held = path.and_then(|held| held.parse::<u64>().ok());
@@ -57,7 +59,8 @@
     answer
 }
 
-/// The copy of a version that is newer than `held`; none where there is none soon.
+/// Waits for a version newer than `held` and returns its copy. Returns `None` if there is none within
+/// [`HOLD_MS`] or it can't be copied.
 async fn newer_than(node: &Node, held: ConfigVersion) -> Option<Buffer> {
     let has_newer = || node.config_version() > Some(held);
     let newer = async {
@@ -70,5 +73,5 @@
         }
     };
     let in_time = tokio::time::timeout(Duration::from(HOLD_MS), newer).await;
-    in_time.ok().and_then(|()| node.copies.packed())
+    in_time.ok().and_then(|()| node.copies.compressed())
 }
