--- a/crates/front/src/http/link.rs
+++ b/crates/front/src/http/link.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection, leased for one exchange.
+//! An HTTP/1.1 connection that is leased for one exchange.
 
 use bluebell_base::prelude::*;
 use bytes::Bytes as Buffer;
@@ -13,38 +13,38 @@
 use tokio::net::TcpStream;
 use tokio::task::{AbortHandle, spawn_local};
 
-/// The largest head of an answer. Answers' headers are a few hundred bytes.
-const ANSWER_HEAD_BYTES: usize = 16 * 1024;
+/// The largest head of an answer. The headers of answers are a few hundred bytes.
+const MAX_ANSWER_HEAD_BYTES: usize = 16 * 1024;
 
-/// Why an exchange gave no answer's head.
+/// The error of an exchange that ended before the answer's head arrived.
 #[derive(Debug, thiserror::Error)]
 pub enum SendError {
-    /// The connection can't be opened; nothing was sent.
+    /// The connection couldn't be opened; nothing was sent.
     #[error("can't connect: {0}")]
     Connect(Arc<str>),
-    /// Nobody listens at the address; nothing was sent.
+    /// The address refused the connection because nothing listens there; nothing was sent.
     #[error("can't connect: {0}")]
     Refused(Arc<str>),
     /// The kept connection was closed before anything was sent.
     #[error("the kept connection was closed")]
     Unsent,
-    /// Something was sent, and the connection failed.
+    /// The connection failed after something was sent.
     #[error("the connection failed: {0}")]
     Broken(Arc<str>),
 }
 
-/// A connection, open for one exchange.
+/// An open connection, leased for one exchange. Dropping it closes the connection.
 #[derive(Debug)]
 pub struct Link {
     sender: Option<SendRequest<Full<Buffer>>>,
     driver: AbortHandle,
-    /// Where it leads.
+    /// The address of the other side.
     pub address: SocketAddr,
-    /// Whether it has carried an exchange before.
+    /// True if the connection has carried an exchange before.
     pub reused: bool,
 }
 
-/// The head of an answer, with the body still to come.
+/// An answer whose head has arrived and whose body is still to be read.
 pub type IncomingAnswer = Response<Incoming>;
 
 impl Link {
@@ -59,17 +59,18 @@
             Ok(Err(error)) => return Err(SendError::Connect(error.to_string().into())),
             Err(_) => return Err(SendError::Connect("timeout".into())),
         };
-        // Without it an answer's last bytes may wait for an acknowledgement.
+        // Without TCP_NODELAY the last bytes of a request may be delayed until the other side
+        // acknowledges.
         if let Err(error) = stream.set_nodelay(true) {
             return Err(SendError::Connect(error.to_string().into()));
         }
         let mut builder = http1::Builder::new();
-        builder.max_buf_size(ANSWER_HEAD_BYTES);
+        builder.max_buf_size(MAX_ANSWER_HEAD_BYTES);
         let (sender, connection) = builder
             .handshake(TokioIo::new(stream))
             .await
             .map_err(|error| SendError::Connect(error.to_string().into()))?;
-        // A failure of the connection shows in the exchange that uses it.
+        // The connection's error is reported to the exchange that uses it.
         let driver = spawn_local(async move { drop(connection.await) }).abort_handle();
         Ok(Self {
             sender: Some(sender),
@@ -79,12 +80,12 @@
         })
     }
 
-    /// Whether it can carry an exchange now.
+    /// Returns true if the connection can carry an exchange now.
     pub fn is_usable(&self) -> bool {
         self.sender.as_ref().is_some_and(SendRequest::is_ready)
     }
 
-    /// Sends a request and waits for the answer's head.
+    /// Sends a request and waits for the head of the answer.
     pub async fn send(
         &mut self,
         request: Request<Full<Buffer>>,
@@ -101,8 +102,8 @@
         }
     }
 
-    /// Waits until it can carry another exchange, or is closed.
-    pub async fn settled(&mut self) -> bool {
+    /// Waits until the connection can carry another exchange. Returns false if it is closed.
+    pub async fn wait_ready(&mut self) -> bool {
         match self.sender.as_mut() {
             Some(sender) => sender.ready().await.is_ok(),
             None => false,
--- a/crates/front/src/http/mod.rs
+++ b/crates/front/src/http/mod.rs
@@ -1,10 +1,11 @@
-//! Connections to replicas and to the platform: opening, keeping and dropping them.
+//! HTTP connections to replicas and to the platform: opens them, keeps them for reuse and closes
+//! them.
 //!
-//! Terms: a *link* is a connection leased for one exchange; it goes back to the pool only once its
-//! answer was read whole.
+//! Terms: an *exchange* is one request and its answer. A *link* is a connection leased for one
+//! exchange; it returns to the pool only once the answer has been read completely.
 //!
-//! Invariants: a link that is dropped is closed, so that the other side stops working for it; at
-//! most one exchange uses a link.
+//! Invariants: a link that is dropped is closed, so that the other side stops working on the
+//! request. At most one exchange uses a link at a time.
 
 mod link;
 mod pool;
--- a/crates/front/src/http/pool.rs
+++ b/crates/front/src/http/pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections, by address.
+//! The pool of connections that are kept for reuse, by address.
 
 use super::link::{Link, SendError};
 use crate::node::Clock;
@@ -8,32 +8,37 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// How long a connection is kept where the other side doesn't say. A close that
-/// crosses a request shows as a failed try.
-const KEPT_MS: SpanMs = SpanMs(4_000);
+/// The time for which the other side is assumed to keep an idle connection open if it doesn't
+/// announce one. A request that is sent while the other side closes the connection shows as a
+/// failed attempt.
+const DEFAULT_KEEP_ALIVE_MS: SpanMs = SpanMs(4_000);
 
-/// How much earlier than the other side a connection is given up, so that a request doesn't cross
-/// its close.
-const MARGIN_MS: SpanMs = SpanMs(700);
+/// The time before the other side's idle timeout at which a connection is no longer used, so that
+/// no request is sent while it is being closed.
+const KEEP_ALIVE_MARGIN_MS: SpanMs = SpanMs(700);
 
-/// How old a kept connection may be for a request that may run only once: a close that crosses it
-/// leaves it unknown whether it ran.
+/// The longest idle time of a kept connection that may carry a request which may run only once. If
+/// the other side closes the connection as the request is sent, it is unknown whether the request
+/// ran.
 const AT_MOST_ONCE_IDLE_MS: SpanMs = SpanMs(1_500);
 
-/// How long opening a connection may take: replicas are a few ms away, and a dark one never answers.
-const CONNECT_MS: SpanMs = SpanMs(300);
+/// The timeout for opening a connection. Replicas are a few ms away, and one that is down or cut
+/// off never answers.
+const CONNECT_TIMEOUT_MS: SpanMs = SpanMs(300);
 
-/// Which kept connections will do.
+/// The kept connections that a request may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// Any that is open.
+    /// Any open connection, kept or new.
     Kept,
-    /// One that was used a moment ago, or a new one.
+    /// A connection that has been idle for at most `AT_MOST_ONCE_IDLE_MS`, or a new one.
     Recent,
-    /// A new one only.
+    /// A new connection only.
     New,
 }
 
+/// A kept connection with the time since which it has been idle and the time until which it may be
+/// used.
 #[derive(Debug)]
 struct Idle {
     link: Link,
@@ -41,7 +46,7 @@
     until_ms: MonoMs,
 }
 
-/// All kept connections.
+/// The pool of kept connections.
 #[derive(Debug)]
 pub struct Pool {
     clock: Clock,
@@ -50,7 +55,7 @@
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Returns an empty pool.
     pub fn open(clock: Clock) -> Rc<Self> {
         Rc::new(Self {
             clock,
@@ -59,18 +64,18 @@
         })
     }
 
-    /// How many connections were opened so far.
+    /// Returns the number of connections for which opening was attempted so far.
     pub fn opened(&self) -> u64 {
         self.opened.get()
     }
 
-    /// Leases a kept connection that will do, or opens one.
+    /// Leases a kept connection that `fresh` allows, or opens a new one.
     pub async fn lease(&self, address: SocketAddr, fresh: Freshness) -> Result<Link, SendError> {
         if let Some(link) = self.take(address, fresh) {
             return Ok(link);
         }
         self.opened.set(self.opened.get() + 1);
-        Link::open(address, CONNECT_MS).await
+        Link::open(address, CONNECT_TIMEOUT_MS).await
     }
 
     fn take(&self, address: SocketAddr, fresh: Freshness) -> Option<Link> {
@@ -95,11 +100,12 @@
         None
     }
 
-    /// Takes a connection back whose answer was read whole.
+    /// Returns a connection to the pool once its answer has been read completely. `keep_alive_ms`
+    /// is the idle timeout that the other side announced.
     pub fn give_back(self: &Rc<Self>, mut link: Link, keep_alive_ms: Option<SpanMs>) {
         let pool = self.clone();
         tokio::task::spawn_local(async move {
-            if link.settled().await {
+            if link.wait_ready().await {
                 pool.keep(link, keep_alive_ms);
             }
         });
@@ -107,8 +113,8 @@
 
     fn keep(&self, link: Link, keep_alive_ms: Option<SpanMs>) {
         let since_ms = self.clock.now_ms();
-        let kept_ms = keep_alive_ms.unwrap_or(KEPT_MS);
-        let kept_ms = SpanMs(kept_ms.0.saturating_sub(MARGIN_MS.0));
+        let kept_ms = keep_alive_ms.unwrap_or(DEFAULT_KEEP_ALIVE_MS);
+        let kept_ms = SpanMs(kept_ms.0.saturating_sub(KEEP_ALIVE_MARGIN_MS.0));
         let idle = Idle {
             since_ms,
             until_ms: since_ms + kept_ms,
@@ -118,7 +124,7 @@
         all.entry(idle.link.address).or_default().push(idle);
     }
 
-    /// Closes what was kept for too long.
+    /// Closes the connections that were idle for too long or have been closed by the other side.
     pub fn expire(&self) {
         let now_ms = self.clock.now_ms();
         self.idle.borrow_mut().retain(|_, kept| {
