--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -1,15 +1,15 @@
-//! The node's serving path on one thread: callers' connections, calls to replicas, and the gossip
-//! that nodes tell each other.
+//! The node's serving path on one thread: connections of callers, calls to replicas, and the gossip
+//! between nodes.
 //!
 //! Terms:
-//! - *outside* is the platform that the node runs on, reached through the trait objects of
-//!   [`platform`], whose implementation alone knows the platform's names;
-//! - a *try* is one send of a request to one replica (with its helpers);
-//! - *gossip* is what a node tells its peers of the work that it has placed.
+//! - the *platform* is what the node runs on. It is reached through the trait objects of
+//!   [`platform`], and only their implementation knows the platform's names;
+//! - an *attempt* (`try` in code and logs) sends a request once to one replica and its helpers;
+//! - *gossip* is what a node reports to its peers about the work that it has placed.
 //!
-//! Invariants: everything runs on one thread; what a try holds is released when its future is
-//! dropped, so a caller's hang-up ends all work for it; an answer is told to have not run only where
-//! no replica can have started it.
+//! Invariants: everything runs on one thread. What an attempt holds is released when its future is
+//! dropped, so all work for a caller ends when the caller hangs up. An answer states that its
+//! request has not run only if no replica can have started it.
 
 pub mod call;
 pub mod copies;
@@ -25,7 +25,7 @@
 pub mod signals;
 pub mod watch;
 
-/// What users of this package import.
+/// The public items that users of this package import.
 pub mod prelude {
     pub use crate::journal::{Event, Journal};
     pub use crate::node::{FrontError, FrontHandle, FrontSettings, Stopper};
--- a/crates/front/src/platform/mod.rs
+++ b/crates/front/src/platform/mod.rs
@@ -1,11 +1,11 @@
-//! What the node needs of the platform that it runs on.
+//! The interface of the platform that the node runs on.
 //!
 //! Terms: the *directory* holds the operators' configuration, the list of replicas and the list of
-//! nodes; a *cursor* is a place in the directory's history; the *dialect* is how callers and
-//! replicas name things in headers.
+//! nodes. A *cursor* is a position in the directory's history. The *dialect* is the set of headers
+//! and formats that callers and replicas use.
 //!
-//! Invariants: an implementation translates and calls; it decides nothing and keeps no state that a
-//! restart would miss.
+//! Invariants: an implementation only translates and makes calls. It takes no decisions and keeps
+//! no state that would be missed after a restart.
 
 use bluebell_base::prelude::*;
 use bluebell_fleet::prelude::*;
@@ -20,11 +20,11 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
-/// A read of the directory that is under way.
+/// The future of a call to the directory.
 pub type PendingRead<'a, T> = Pin<Box<dyn Future<Output = Result<T, DirectoryError>> + 'a>>;
 
-/// One history of the directory. A directory that comes back from an older copy of itself begins
-/// another, in which places are given out again.
+/// The number of one history of the directory. A directory that is restored from an older copy of
+/// itself begins a new history, in which offsets are used again.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -32,7 +32,7 @@
 pub struct Era(pub u64);
 
 impl Era {
-    /// The directory names none.
+    /// The era of a directory that states none.
     pub const UNNAMED: Self = Self(0);
 }
 
@@ -42,17 +42,18 @@
     }
 }
 
-/// A place in the directory's history; one of a later era is the later.
+/// A position in the directory's history. Positions of a later era come after all of an earlier
+/// one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Cursor {
-    /// The history that it is a place of. It says nothing in any other.
+    /// The history that the position belongs to. It has no meaning in any other.
     pub era: Era,
-    /// How much of that history lies before it.
+    /// The offset in that history.
     pub offset: u64,
 }
 
 impl Cursor {
-    /// A place in the history of a directory that names no era.
+    /// Returns a position in the history of a directory that states no era.
     pub const fn at(offset: u64) -> Self {
         Self {
             era: Era::UNNAMED,
@@ -60,137 +61,138 @@
         }
     }
 
-    /// The first place of an era.
+    /// Returns the first position of an era.
     pub const fn first(era: Era) -> Self {
         Self { era, offset: 0 }
     }
 }
 
-/// Why the directory gave no gossip.
+/// The error of a call to the directory.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum DirectoryError {
-    /// It didn't answer in time, or can't be reached.
+    /// The directory didn't answer in time or can't be reached.
     #[error("the directory can't be reached: {0}")]
     Unreachable(Arc<str>),
-    /// It turned the call away.
+    /// The directory refused the call with this status.
     #[error("the directory refused with status {0}")]
     Refused(u16),
-    /// Its answer can't be read.
+    /// The directory's answer can't be parsed.
     #[error("the directory's answer can't be read: {0}")]
     Malformed(Arc<str>),
 }
 
-/// What is new of the configuration.
+/// The result of a read of the configuration.
 #[derive(Clone, Debug)]
 pub struct ConfigUpdate {
-    /// Where to read on.
+    /// The position at which the next read continues.
     pub cursor: Cursor,
-    /// The newest configuration, where there is a new one.
+    /// The newest configuration, if it is new since the cursor of the read.
     pub config: Option<Rc<ServingConfig>>,
-    /// The operators' text of it, for nodes that copy it from this one; none where it can't be copied.
+    /// The operators' text of the configuration, for nodes that copy it from this one. `None` if it
+    /// can't be copied.
     pub text: Option<Buffer>,
 }
 
-/// What is new of the replicas.
+/// The result of a read of the replicas.
 #[derive(Clone, Debug)]
 pub struct ReplicaUpdate {
-    /// Where to read on.
+    /// The position at which the next read continues.
     pub cursor: Cursor,
-    /// Changes in the order in which they happened.
+    /// The changes, in the order in which they happened.
     pub changes: Vec<ReplicaChange>,
-    /// Whether `changes` lists everything that there is, so that what it misses is gone.
+    /// True if `changes` lists every replica, so that a replica that is missing is gone.
     pub is_snapshot: bool,
 }
 
-/// A node, as nodes announce themselves.
+/// The entry with which a node announces itself in the directory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeEntry {
-    /// One run of the node's process.
+    /// The incarnation of the node's process.
     pub incarnation: Incarnation,
-    /// Where it takes its peers' gossip.
+    /// The address at which the node receives gossip.
     pub address: SocketAddr,
 }
 
 /// The platform's directory.
 pub trait Directory {
-    /// The configuration after `cursor`; waits up to `wait_ms` for a new one.
+    /// Reads the configuration after `cursor`, and waits up to `wait_ms` for a new one.
     fn read_config(&self, cursor: Option<Cursor>, wait_ms: SpanMs)
     -> PendingRead<'_, ConfigUpdate>;
-    /// Changes of replicas after `cursor`, without waiting.
+    /// Reads the changes of replicas after `cursor`, without waiting for new ones.
     fn read_replicas(&self, cursor: Option<Cursor>) -> PendingRead<'_, ReplicaUpdate>;
-    /// The nodes that announced themselves and didn't withdraw.
+    /// Reads the nodes that have announced themselves and not withdrawn.
     fn read_nodes(&self) -> PendingRead<'_, Vec<NodeEntry>>;
-    /// The requests that were put into quarantine and not let out.
+    /// Reads the requests that are in quarantine, with their terms.
     fn read_quarantine(&self) -> PendingRead<'_, Vec<(RequestDigest, Term)>>;
-    /// Remembers a request's quarantine, or forgets it.
+    /// Stores a request's quarantine, or deletes it if `term` is `None`.
     fn write_quarantine(&self, digest: RequestDigest, term: Option<Term>) -> PendingRead<'_, ()>;
-    /// Announces this node.
+    /// Announces this node in the directory.
     fn announce(&self, node: NodeEntry) -> PendingRead<'_, ()>;
 }
 
-/// What a caller's head says.
+/// The parsed head of a caller's request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallHead {
-    /// The caller's id of this try of its own.
+    /// The id that the caller gave this attempt of its own.
     pub request: Arc<str>,
-    /// How long the caller waits.
+    /// The time for which the caller waits.
     pub deadline_ms: Option<SpanMs>,
-    /// The caller's key.
+    /// The caller's API key.
     pub key: Option<Arc<str>>,
-    /// The length of the prompt, where the request has one.
+    /// The length of the prompt, if the request has one.
     pub prompt_tokens: Option<Tokens>,
-    /// The most tokens of the answer.
+    /// The largest number of tokens in the answer.
     pub answer_tokens: Tokens,
 }
 
-/// A head that can't be used.
+/// The error of a caller's head that can't be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallHeadError {
-    /// It has no id.
+    /// The head has no request id.
     #[error("the request has no id")]
     NoRequestId,
-    /// One of its numbers can't be read.
+    /// A number in the head can't be parsed.
     #[error("a number in the request's head can't be read")]
     BadNumber,
 }
 
-/// A replica that helps to read a prompt.
+/// A replica that reads a part of a prompt for another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Helper {
-    /// Where it is.
+    /// The helper's address.
     pub address: SocketAddr,
-    /// The memory that is set aside there, by its name; none where it only reads.
+    /// The name of the memory reserved there, or `None` if the helper only reads.
     pub reservation: Option<Arc<str>>,
 }
 
-/// An order about memory that an engine sets aside.
+/// An order to an engine to reserve or release memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemoryOrder {
-    /// Set memory aside, or keep it aside for longer.
+    /// Reserves memory, or holds it for longer.
     Reserve {
-        /// Its name.
+        /// The reservation's name.
         name: Arc<str>,
-        /// How much.
+        /// The size of the memory.
         tokens: Tokens,
-        /// For how long from the order's arrival.
+        /// The time for which it is held after the order's arrival.
         hold_ms: SpanMs,
     },
-    /// Free it.
+    /// Releases the memory.
     Release {
-        /// Its name.
+        /// The reservation's name.
         name: Arc<str>,
     },
 }
 
 impl MemoryOrder {
-    /// The memory's name.
+    /// Returns the reservation's name.
     pub fn name(&self) -> &Arc<str> {
         match self {
             MemoryOrder::Reserve { name, .. } | MemoryOrder::Release { name } => name,
         }
     }
 
-    /// The order's name in logs.
+    /// Returns the order's name in logs.
     pub fn as_str(&self) -> &'static str {
         match self {
             MemoryOrder::Reserve { .. } => "reserve",
@@ -202,16 +204,16 @@
 /// An engine's answer to an order about memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemoryAnswer {
-    /// It is done.
+    /// The order was carried out.
     Done,
-    /// The memory isn't free.
+    /// The engine doesn't have that much memory free.
     Full,
-    /// The order can't be carried out.
+    /// The engine refused the order.
     Refused,
 }
 
 impl MemoryAnswer {
-    /// Its name in logs.
+    /// Returns the answer's name in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             MemoryAnswer::Done => "done",
@@ -221,97 +223,97 @@
     }
 }
 
-/// What an engine says of itself.
+/// The report of an engine about itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineReport {
-    /// How slow it is.
+    /// The factor by which the engine's work takes longer than configured.
     pub pace: Pace,
 }
 
-/// What the node adds to a head that it sends on.
+/// The data that the node adds to the head of a request that it forwards.
 #[derive(Clone, Debug)]
 pub struct ForwardHead<'a> {
-    /// The time left.
+    /// The time left until the request's deadline.
     pub deadline_ms: SpanMs,
-    /// The run of the replica that is meant.
+    /// The instance of the replica that the request is meant for.
     pub instance: &'a str,
-    /// The caller's account.
+    /// The caller's client account.
     pub account: Option<&'a AccountName>,
-    /// How urgent it is beside others that wait at the replica.
+    /// The urgency of the request among others that wait at the replica.
     pub urgency: Urgency,
     /// The replicas that help to read the prompt.
     pub helpers: &'a [Helper],
-    /// The last event that the caller has, where this try goes on from it.
+    /// The last event that the caller has received, if this attempt resumes a stream.
     pub last_event: Option<&'a str>,
 }
 
-/// What a replica's head says.
+/// The parsed head of a replica's answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AnswerHead {
-    /// Whether it answers this request by name.
+    /// True if the answer names the request that was sent.
     pub names_this_request: bool,
-    /// Whether it names another request, so that nothing in it is about this one.
+    /// True if the answer names another request, so that nothing in it applies to this one.
     pub names_other_request: bool,
-    /// Whether it carries the replica's signature.
+    /// True if the answer carries the replica's signature.
     pub signed: bool,
-    /// Whether the replica states that it didn't run the request.
+    /// True if the replica states that it didn't run the request.
     pub not_run: bool,
-    /// Whether another run of a replica has the address.
+    /// True if another replica instance has the address.
     pub instance_mismatch: bool,
-    /// Whether its body is encoded, so that it isn't the replica's own.
+    /// True if the body is encoded, so that it isn't the replica's own.
     pub encoded: bool,
-    /// How long the replica keeps the connection, where it says so.
+    /// The time for which the replica keeps the idle connection open, if it states one.
     pub keep_alive_ms: Option<SpanMs>,
-    /// The replica at fault, by instance or address, where it isn't the one that answers.
+    /// The replica at fault, by instance or address, if it isn't the one that answers.
     pub faulty_replica: Option<Arc<str>>,
-    /// What it says of the replica.
+    /// The signals about the replica that the answer carries.
     pub signals: ReplicaSignals,
 }
 
-/// What any answer of a replica, to a request, a probe or an order, says of it.
+/// The signals that a replica sends about itself in any answer, to a request, a probe or an order.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReplicaSignals {
-    /// How many requests it takes.
+    /// The number of requests a second that the replica accepts.
     pub limit: LimitSignal,
-    /// Whether it leaves.
+    /// True if the replica is leaving.
     pub leaving: bool,
-    /// For how long it wants no requests from this node.
+    /// The time for which the replica wants no requests from this node.
     pub rest: RetryAfterSignal,
 }
 
-/// How callers and replicas name things.
+/// The headers and formats that callers and replicas use.
 pub trait Dialect {
-    /// Reads a caller's head.
+    /// Parses the head of a caller's request.
     fn call_head(&self, headers: &HeaderMap) -> Result<CallHead, CallHeadError>;
-    /// The head to send to a replica.
+    /// Builds the headers to send to a replica from those of the caller.
     fn forward_headers(&self, headers: &HeaderMap, send: &ForwardHead<'_>) -> HeaderMap;
-    /// Reads a replica's head, the answer to `request`.
+    /// Parses the head of a replica's answer to `request`.
     fn answer_head(&self, request: &str, status: u16, headers: &HeaderMap) -> AnswerHead;
-    /// What any answer of a replica says of it.
+    /// Parses the signals that any answer of a replica carries about it.
     fn signals(&self, status: u16, headers: &HeaderMap) -> ReplicaSignals;
-    /// The headers of a replica's answer that the caller gets.
+    /// Returns the headers of a replica's answer that are passed on to the caller.
     fn answer_headers(&self, headers: &HeaderMap) -> HeaderMap;
-    /// The headers of an answer of the node's own to `request`.
+    /// Builds the headers of an answer to `request` that the node itself gives.
     fn node_answer_headers(&self, request: &str) -> HeaderMap;
-    /// Reads the operators' text of a configuration.
+    /// Parses the operators' text of a configuration.
     fn config(&self, text: &[u8]) -> Result<ServingConfig, DirectoryError>;
-    /// An order to an engine about memory.
+    /// Builds the HTTP request of a memory order to an engine.
     fn memory_order(&self, address: SocketAddr, order: &MemoryOrder) -> Request<Full<Buffer>>;
-    /// What an engine's answer to such an order says.
+    /// Translates the status of an engine's answer to a memory order.
     fn memory_answer(&self, status: u16) -> MemoryAnswer;
-    /// Asks an engine how it is.
+    /// Builds the HTTP request for an engine's report about itself.
     fn report_request(&self, address: SocketAddr) -> Request<Full<Buffer>>;
-    /// What an engine says of itself; none where that can't be read.
+    /// Parses an engine's report about itself. Returns `None` if it can't be parsed.
     fn report(&self, body: &[u8]) -> Option<EngineReport>;
-    /// The path on which the balancer asks whether the node takes new connections.
+    /// Returns the path at which the balancer checks if the node accepts new connections.
     fn ready_path(&self) -> &str;
 }
 
-/// The platform.
+/// The platform that the node runs on.
 #[derive(Clone)]
 pub struct Platform {
-    /// Its directory.
+    /// The platform's directory.
     pub directory: Rc<dyn Directory>,
-    /// Its words.
+    /// The platform's headers and formats.
     pub dialect: Rc<dyn Dialect>,
 }
