--- a/crates/fleet/src/limit/allowance.rs
+++ b/crates/fleet/src/limit/allowance.rs
@@ -1,20 +1,22 @@
-//! What one node may send to a replica that named a limit.
+//! The token bucket that bounds what one node sends to a replica with a limit.
 //!
-//! Invariants: it begins empty, so that nodes which take over from each other, or from nobody, don't
-//! all send at once; over any span no more is allowed than the rate gives in it, and the depth beside.
+//! Invariants: a bucket starts empty, so that nodes that take over a limit, from each other or from
+//! nobody, don't all send at once. Over any span, the requests allowed are at most the rate times the
+//! span, plus the depth of the bucket.
 
 use bluebell_base::prelude::*;
 
-/// How long an allowance that isn't used grows: bursts of callers use what came in before them.
-const DEPTH_S: f64 = 0.5;
+/// The depth of the bucket, in seconds of its rate: a burst of requests may use what was saved up before
+/// it.
+const BURST_S: f64 = 0.5;
 
-/// The least that it grows to: whole requests are sent.
-const LEAST_DEPTH: f64 = 1.0;
+/// The smallest depth of the bucket, in requests: a request is sent as a whole.
+const MIN_DEPTH_REQUESTS: f64 = 1.0;
 
-/// For how long what was sent beyond it is made up for: the span in which replicas count.
-const DEBT_S: f64 = 4.0;
+/// The largest debt of the bucket, in seconds of its rate: the window in which replicas count requests.
+const MAX_DEBT_S: f64 = 4.0;
 
-/// The requests that a node may send, growing by time.
+/// A token bucket of requests that a node may send.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Allowance {
     rate: PerSecond,
@@ -23,7 +25,7 @@
 }
 
 impl Allowance {
-    /// Nothing, and no more to come.
+    /// Returns an empty bucket with a rate of zero.
     pub fn none(now_ms: MonoMs) -> Self {
         Self {
             rate: PerSecond(0.0),
@@ -32,7 +34,7 @@
         }
     }
 
-    /// From now on it grows by `rate`.
+    /// Sets the rate at which the bucket fills from `now_ms` on.
     pub fn set_rate(&mut self, rate: PerSecond, now_ms: MonoMs) {
         self.level = self.level(now_ms);
         self.at_ms = now_ms;
@@ -44,21 +46,21 @@
 
     fn level(&self, now_ms: MonoMs) -> f64 {
         let grown = self.rate.0 * now_ms.since(self.at_ms).0 as f64 / 1000.0;
-        let depth = (self.rate.0 * DEPTH_S).max(LEAST_DEPTH);
+        let depth = (self.rate.0 * BURST_S).max(MIN_DEPTH_REQUESTS);
         (self.level + grown).min(depth)
     }
 
-    /// One request is sent, allowed or not.
+    /// Takes one request out of the bucket, which may put it into debt.
     pub fn spend(&mut self, now_ms: MonoMs) {
-        let most_debt = self.rate.0 * DEBT_S + LEAST_DEPTH;
-        self.level = (self.level(now_ms) - 1.0).max(-most_debt);
+        let max_debt = self.rate.0 * MAX_DEBT_S + MIN_DEPTH_REQUESTS;
+        self.level = (self.level(now_ms) - 1.0).max(-max_debt);
         self.at_ms = now_ms;
     }
 
-    /// The time until a request may be sent; none where none ever may.
+    /// Returns the time until a request may be sent, or `None` if the bucket never fills.
     pub fn wait_ms(&self, now_ms: MonoMs) -> Option<SpanMs> {
         let missing = 1.0 - self.level(now_ms);
-        if missing <= ROUNDING {
+        if missing <= ROUNDING_REQUESTS {
             return Some(SpanMs::ZERO);
         }
         if self.rate.0 <= 0.0 {
@@ -68,5 +70,5 @@
     }
 }
 
-/// By how much a request may be short of whole from the rounding of many small steps.
-const ROUNDING: f64 = 1e-6;
+/// The rounding error, in requests, that many small refills may add up to.
+const ROUNDING_REQUESTS: f64 = 1e-6;
--- a/crates/fleet/src/limit/mod.rs
+++ b/crates/fleet/src/limit/mod.rs
@@ -1,17 +1,17 @@
-//! What replicas say of how many requests they take, and what this node may send there.
+//! The rate limits that replicas set, and what this node may send to them.
 //!
-//! Terms: a replica in need *names* a limit, the requests a second that it takes from all nodes
-//! together; its answers repeat it for as long as it holds, and the first without it ends it. A node
-//! *holds* a limit where it may send a part of it.
+//! Terms: a replica under pressure *sets* a limit, the requests a second that it accepts from all
+//! nodes together. Its answers repeat the limit for as long as it applies, and the first answer
+//! without it ends it. A node *holds* a limit if it may send a part of it.
 //!
-//! Load pattern: an engine that takes one request a second stands among others, and each of hundreds
-//! of nodes finds it idle. Whoever sent last has heard the limit, the others have not.
+//! Load pattern: an engine that accepts one request a second stands among others, and each of hundreds
+//! of nodes finds it idle. Only the node that sent a request last has received the limit.
 //!
-//! Reason for the limits: see [`Nodes`] and its module. Whatever reaches a replica counts: requests,
-//! parts of prompts read there, looks and orders.
+//! Reason for the limits: see [`Nodes`] and its module. Everything that reaches a replica counts
+//! against its limit: requests, parts of prompts that are read there, probes and orders.
 //!
-//! Invariants: a limit belongs to one run of a replica; what can't be read changes nothing; what is
-//! older than what is known changes nothing.
+//! Invariants: a limit belongs to one run of a replica. An unreadable limit changes nothing. A report
+//! that is older than what is known changes nothing.
 
 mod allowance;
 mod notice;
@@ -29,32 +29,33 @@
 
 use crate::replicas::ReplicaKey;
 
-/// How long a node that doesn't hold a limit believes in it without a word: its holders tell of it at
-/// least each second, so they no longer know of it.
-const BELIEVED_MS: SpanMs = SpanMs(10_000);
+/// The time after which a node that doesn't hold a limit drops it if it received no report of it. Holders
+/// report a limit at least once a second, so after this time none of them knows of it.
+const UNREPORTED_EXPIRY_MS: SpanMs = SpanMs(10_000);
 
-/// How long the end of a limit is remembered and told: older gossip of the limit is on its way for less.
-const END_REMEMBERED_MS: SpanMs = SpanMs(10_000);
+/// The time for which the end of a limit is remembered and reported. Older gossip of the limit takes less
+/// time to arrive.
+const END_RETENTION_MS: SpanMs = SpanMs(10_000);
 
-/// How long shares are used before the nodes are looked through again.
-const SHARED_MS: SpanMs = SpanMs(200);
+/// The time for which computed shares are used before they are computed again from the current nodes.
+const SHARE_REFRESH_MS: SpanMs = SpanMs(200);
 
-/// How long a replica may say nothing before it is looked at: requests that are sent there tell more.
-const QUIET_MS: SpanMs = SpanMs(4_000);
+/// The silence after which a replica with a limit is probed. Until then, requests sent there show more.
+const PROBE_AFTER_SILENCE_MS: SpanMs = SpanMs(4_000);
 
-/// How a limit, or its end, became known.
+/// The kind of answer that reported a limit or its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// The answer to a request of a caller.
+    /// An answer to a request of a caller.
     Answer,
-    /// The answer to a look at the replica.
+    /// An answer to a probe.
     Probe,
-    /// The answer to an order.
+    /// An answer to an order.
     Order,
 }
 
 impl Source {
-    /// Its name in logs.
+    /// Returns the name used in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Source::Answer => "answer",
@@ -64,47 +65,47 @@
     }
 }
 
-/// An answer of a replica, as far as it matters for limits.
+/// The part of a replica's answer that concerns its limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitReport {
-    /// What it says.
+    /// The limit in the answer.
     pub signal: LimitSignal,
-    /// What was answered.
+    /// The kind of answer.
     pub source: Source,
-    /// When that was sent.
+    /// The time at which the request, probe or order was sent.
     pub sent_ms: MonoMs,
 }
 
-/// What changed.
+/// A change of a replica's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LimitChange {
-    /// The replica takes so much.
+    /// The replica set a limit of this rate.
     Set(PerSecond),
-    /// It no longer names a limit.
+    /// The replica has no limit any more.
     Ended,
 }
 
-/// Whether a request may be sent to a replica.
+/// The permission to send a request to a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It may.
+    /// A request may be sent now.
     Now,
-    /// It may after this time.
+    /// A request may be sent after this time.
     After(SpanMs),
-    /// Other nodes may.
+    /// Only other nodes may send requests.
     OtherNodes,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Limit {
     rate: PerSecond,
-    /// When the replica last named it.
-    named_ms: MonoMs,
-    /// When the replica last answered anything, as far as this node knows.
+    /// The time at which the replica last set it.
+    set_ms: MonoMs,
+    /// The time of the replica's last answer of any kind, as far as this node knows.
     answered_ms: MonoMs,
-    /// When this node last heard of the limit, from the replica or from a peer.
-    heard_ms: MonoMs,
-    /// Whether answers to looks name it as well, so that one without it ends it.
+    /// The time at which this node last received a report of the limit, from the replica or from a peer.
+    received_ms: MonoMs,
+    /// True if answers to probes carry the limit too, so that a probe's answer without it ends it.
     probes_carry_limit: bool,
     allowance: Allowance,
     share: Option<Share>,
@@ -116,7 +117,7 @@
     }
 
     fn is_announced(&self) -> bool {
-        self.share.is_some_and(|share| share.tells)
+        self.share.is_some_and(|share| share.announces)
     }
 }
 
@@ -124,53 +125,53 @@
 #[derive(Clone, Copy, Debug)]
 struct End {
     at_ms: MonoMs,
-    /// Whether this node tells the others of it.
-    tells: bool,
+    /// True if this node repeats the end to its peers.
+    announces: bool,
 }
 
-/// The limits that are known.
+/// All known limits of replicas.
 #[derive(Debug, Default)]
 pub struct Limits {
     known: FxHashMap<ReplicaKey, Limit>,
     ended: FxHashMap<ReplicaKey, End>,
-    /// When the shares were last worked out; none where one is missing.
-    shared_ms: Option<MonoMs>,
+    /// The time at which shares were last computed, or `None` if a share is missing.
+    shares_computed_ms: Option<MonoMs>,
 }
 
 impl Limits {
-    /// A replica answered; returns what changed.
+    /// Records an answer of a replica. Returns the change of its limit, if any.
     pub fn on_answer(
         &mut self,
         key: ReplicaKey,
-        heard: LimitReport,
+        report: LimitReport,
         now_ms: MonoMs,
     ) -> Option<LimitChange> {
-        match heard.signal {
+        match report.signal {
             LimitSignal::Set(rate) => {
-                let probes_carry_limit = heard.source == Source::Probe;
-                self.name(key, rate, now_ms, probes_carry_limit, now_ms)
+                let probes_carry_limit = report.source == Source::Probe;
+                self.set(key, rate, now_ms, probes_carry_limit, now_ms)
             }
-            LimitSignal::Absent => self.unname(key, heard, now_ms),
+            LimitSignal::Absent => self.on_absent(key, report, now_ms),
             LimitSignal::Unreadable => None,
         }
     }
 
-    /// A peer told of a limit, or of its end; returns what changed.
-    pub fn on_notified(&mut self, told: &LimitNotice, now_ms: MonoMs) -> Option<LimitChange> {
-        let at_ms = told.at_ms(now_ms);
-        let known = self.known.get_mut(&told.replica);
-        let known_ms = known.as_ref().map(|limit| limit.named_ms);
-        let ended_ms = self.ended.get(&told.replica).map(|end| end.at_ms);
-        let Some(rate) = told.rate else {
+    /// Records a peer's report of a limit or of its end. Returns the change of the limit, if any.
+    pub fn on_notified(&mut self, notice: &LimitNotice, now_ms: MonoMs) -> Option<LimitChange> {
+        let at_ms = notice.at_ms(now_ms);
+        let known = self.known.get_mut(&notice.replica);
+        let known_ms = known.as_ref().map(|limit| limit.set_ms);
+        let ended_ms = self.ended.get(&notice.replica).map(|end| end.at_ms);
+        let Some(rate) = notice.rate else {
             let latest_ms = known_ms.max(ended_ms);
             if latest_ms.is_some_and(|latest_ms| at_ms <= latest_ms) {
                 return None;
             }
-            return self.end(told.replica, at_ms);
+            return self.end(notice.replica, at_ms);
         };
         if let Some(limit) = known {
-            limit.heard_ms = now_ms;
-            limit.probes_carry_limit |= told.probes_carry_limit;
+            limit.received_ms = now_ms;
+            limit.probes_carry_limit |= notice.probes_carry_limit;
         }
         if known_ms
             .max(ended_ms)
@@ -178,14 +179,20 @@
         {
             return None;
         }
-        self.name(told.replica, rate, at_ms, told.probes_carry_limit, now_ms)
+        self.set(
+            notice.replica,
+            rate,
+            at_ms,
+            notice.probes_carry_limit,
+            now_ms,
+        )
     }
 
-    fn name(
+    fn set(
         &mut self,
         key: ReplicaKey,
         rate: PerSecond,
-        named_ms: MonoMs,
+        set_ms: MonoMs,
         probes_carry_limit: bool,
         now_ms: MonoMs,
     ) -> Option<LimitChange> {
@@ -193,13 +200,13 @@
         let before = self.known.get(&key).copied();
         let same = before.is_some_and(|before| before.rate == rate);
         if !same {
-            self.shared_ms = None;
+            self.shares_computed_ms = None;
         }
         let limit = Limit {
             rate,
-            named_ms,
-            answered_ms: named_ms,
-            heard_ms: now_ms,
+            set_ms,
+            answered_ms: set_ms,
+            received_ms: now_ms,
             probes_carry_limit: probes_carry_limit
                 || before.is_some_and(|limit| limit.probes_carry_limit),
             allowance: before.map_or(Allowance::none(now_ms), |limit| limit.allowance),
@@ -209,43 +216,45 @@
         (!same).then_some(LimitChange::Set(rate))
     }
 
-    /// An answer names no limit. One that was asked for before the limit was last named may have been
-    /// given before as well, since answers overtake each other; it ends nothing.
-    fn unname(
+    /// Records an answer without a limit. Answers overtake each other, so if it belongs to a request sent
+    /// before the limit was last set, it may be older than the limit and doesn't end it.
+    fn on_absent(
         &mut self,
         key: ReplicaKey,
-        heard: LimitReport,
+        report: LimitReport,
         now_ms: MonoMs,
     ) -> Option<LimitChange> {
         let limit = self.known.get_mut(&key)?;
         limit.answered_ms = now_ms;
-        limit.heard_ms = now_ms;
-        let tells = match heard.source {
+        limit.received_ms = now_ms;
+        let conclusive = match report.source {
             Source::Answer => true,
             Source::Probe => limit.probes_carry_limit,
             Source::Order => false,
         };
-        let newer = heard.sent_ms > limit.named_ms;
-        (tells && newer).then(|| self.end(key, now_ms)).flatten()
+        let newer = report.sent_ms > limit.set_ms;
+        (conclusive && newer)
+            .then(|| self.end(key, now_ms))
+            .flatten()
     }
 
-    /// A limit has ended, which a peer may know of that this node never heard of.
+    /// Records the end of a limit, which may be one that only a peer knew of.
     fn end(&mut self, key: ReplicaKey, at_ms: MonoMs) -> Option<LimitChange> {
         let limit = self.known.remove(&key);
-        let tells = limit.is_some_and(|limit| limit.is_announced());
-        self.ended.insert(key, End { at_ms, tells });
+        let announces = limit.is_some_and(|limit| limit.is_announced());
+        self.ended.insert(key, End { at_ms, announces });
         limit.map(|_| LimitChange::Ended)
     }
 
-    /// Whether the shares have to be worked out before they are used.
+    /// Returns true if shares must be computed before limits are used.
     pub fn has_stale_shares(&self, now_ms: MonoMs) -> bool {
-        let old = |at_ms: MonoMs| now_ms.since(at_ms) >= SHARED_MS;
-        !self.is_empty() && self.shared_ms.is_none_or(old)
+        let old = |at_ms: MonoMs| now_ms.since(at_ms) >= SHARE_REFRESH_MS;
+        !self.is_empty() && self.shares_computed_ms.is_none_or(old)
     }
 
-    /// Works out what this node may send.
+    /// Computes the share of this node in each limit.
     pub fn share(&mut self, nodes: &Nodes<'_>, now_ms: MonoMs) {
-        self.shared_ms = Some(now_ms);
+        self.shares_computed_ms = Some(now_ms);
         for (key, limit) in &mut self.known {
             let share = Share::of(nodes, *key, limit.rate);
             limit.share = Some(share);
@@ -253,7 +262,7 @@
         }
     }
 
-    /// Whether a request may be sent to a replica.
+    /// Returns the permission to send a request to a replica.
     pub fn admission(&self, key: ReplicaKey, now_ms: MonoMs) -> Admission {
         let Some(limit) = self.known.get(&key) else {
             return Admission::Now;
@@ -265,32 +274,32 @@
         }
     }
 
-    /// Something is sent to a replica.
+    /// Counts something that is sent to a replica.
     pub fn on_sent(&mut self, key: ReplicaKey, now_ms: MonoMs) {
         if let Some(limit) = self.known.get_mut(&key) {
             limit.allowance.spend(now_ms);
         }
     }
 
-    /// Whether a replica names a limit.
+    /// Returns true if a replica has a limit.
     pub fn is_limited(&self, key: ReplicaKey) -> bool {
         self.known.contains_key(&key)
     }
 
-    /// Whether a replica is to be looked at: always without a limit; with one only where nothing else
-    /// was heard of it for a while and a request may be sent.
+    /// Returns true if a replica may be probed. Without a limit it always may; with one only if it
+    /// hasn't answered anything for a few seconds and a request may be sent.
     pub fn admits_probe(&self, key: ReplicaKey, now_ms: MonoMs) -> bool {
         let Some(limit) = self.known.get(&key) else {
             return true;
         };
-        let quiet = now_ms.since(limit.answered_ms) >= QUIET_MS;
+        let quiet = now_ms.since(limit.answered_ms) >= PROBE_AFTER_SILENCE_MS;
         quiet && self.admission(key, now_ms) == Admission::Now
     }
 
-    /// What peers are notified of about this replica: its limit, or that it has ended.
+    /// Returns the notice for peers about a replica: its limit, or the end of it.
     pub fn notice(&self, key: ReplicaKey, now_ms: MonoMs) -> Option<LimitNotice> {
         if let Some(limit) = self.known.get(&key) {
-            let age_ms = now_ms.since(limit.named_ms);
+            let age_ms = now_ms.since(limit.set_ms);
             return Some(LimitNotice {
                 replica: key,
                 rate: Some(limit.rate),
@@ -307,42 +316,41 @@
         })
     }
 
-    /// All that this node tells again with its digests.
+    /// Returns the notices that this node repeats with its digests.
     pub fn repeated_notices(&self, now_ms: MonoMs) -> Vec<LimitNotice> {
         let limits = self.known.iter().filter(|(_, limit)| limit.is_announced());
-        let ends = self.ended.iter().filter(|(_, end)| end.tells);
+        let ends = self.ended.iter().filter(|(_, end)| end.announces);
         let keys = limits.map(|(key, _)| *key).chain(ends.map(|(key, _)| *key));
         keys.filter_map(|key| self.notice(key, now_ms)).collect()
     }
 
-    /// How many replicas name a limit.
+    /// Returns the number of replicas that have a limit.
     pub fn len(&self) -> usize {
         self.known.len()
     }
 
-    /// Whether none does.
+    /// Returns true if no replica has a limit.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 
-    /// Forgets what no longer counts, and what is known of replicas that are gone; returns the limits
-    /// that this takes to have ended.
+    /// Removes what is out of date, and the limits of replicas that are gone. Returns the replicas whose
+    /// limits are taken to have ended because no report of them came any more.
     pub fn expire(
         &mut self,
         is_known: impl Fn(ReplicaKey) -> bool,
         now_ms: MonoMs,
     ) -> Vec<ReplicaKey> {
         self.ended
-            .retain(|_, end| now_ms.since(end.at_ms) < END_REMEMBERED_MS);
+            .retain(|_, end| now_ms.since(end.at_ms) < END_RETENTION_MS);
         self.known.retain(|key, _| is_known(*key));
-        let unheard = self
-            .known
-            .iter()
-            .filter(|(_, limit)| !limit.is_held() && now_ms.since(limit.heard_ms) >= BELIEVED_MS);
-        let unheard: Vec<ReplicaKey> = unheard.map(|(key, _)| *key).collect();
-        for key in &unheard {
+        let expired = self.known.iter().filter(|(_, limit)| {
+            !limit.is_held() && now_ms.since(limit.received_ms) >= UNREPORTED_EXPIRY_MS
+        });
+        let expired: Vec<ReplicaKey> = expired.map(|(key, _)| *key).collect();
+        for key in &expired {
             self.known.remove(key);
         }
-        unheard
+        expired
     }
 }
--- a/crates/fleet/src/limit/notice.rs
+++ b/crates/fleet/src/limit/notice.rs
@@ -1,24 +1,25 @@
-//! What nodes tell each other of a replica's limit.
+//! The notice by which nodes report a replica's limit to each other.
 
 use bluebell_base::prelude::*;
 
 use crate::replicas::ReplicaKey;
 
-/// A replica's limit, or that it has ended.
+/// A replica's limit, or the end of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitNotice {
-    /// Whose.
+    /// The replica.
     pub replica: ReplicaKey,
-    /// The requests a second that it takes from all nodes together; none where it names none any more.
+    /// The requests a second that it accepts from all nodes together, or `None` if it has no limit any
+    /// more.
     pub rate: Option<PerSecond>,
-    /// How long ago the replica said so.
+    /// The time since the replica reported this.
     pub age_ms: SpanMs,
-    /// Whether its answers to looks name it as well.
+    /// True if its answers to probes carry the limit too.
     pub probes_carry_limit: bool,
 }
 
 impl LimitNotice {
-    /// When the replica said so, by this node's clock.
+    /// Returns the time of the replica's report, by this node's clock.
     pub fn at_ms(&self, now_ms: MonoMs) -> MonoMs {
         now_ms - self.age_ms
     }
--- a/crates/fleet/src/limit/signal.rs
+++ b/crates/fleet/src/limit/signal.rs
@@ -1,20 +1,20 @@
-//! What one answer says of its replica's limit.
+//! The limit in one answer of a replica.
 
 use bluebell_base::prelude::*;
 
-/// What an answer says of how many requests its replica takes.
+/// The limit in one answer of a replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LimitSignal {
-    /// So many from all nodes together.
+    /// The replica accepts this rate from all nodes together.
     Set(PerSecond),
-    /// It names no limit.
+    /// The answer has no limit.
     Absent,
-    /// It names something that is no rate.
+    /// The answer has a limit that is not a rate.
     Unreadable,
 }
 
 impl LimitSignal {
-    /// Reads the text with which an answer names its limit.
+    /// Parses the text of an answer's limit.
     pub fn read(text: &str) -> Self {
         let rate = text.trim().parse();
         rate.map_or(Self::Unreadable, Self::Set)
