--- a/crates/fleet/src/replicas/health.rs
+++ b/crates/fleet/src/replicas/health.rs
@@ -1,51 +1,51 @@
-//! The trust in one replica, from its answers.
+//! The health of one replica, judged by its answers.
 //!
-//! Load pattern: a replica that fails at once looks idle, so it attracts more and more work; one
-//! that is silent holds each request until a timeout.
+//! Load pattern: a replica that fails at once looks idle, so it attracts more and more work. A silent
+//! one holds each request until a timeout.
 //!
-//! Reason for the limits: a pause that doubles keeps a flapping replica out for longer each time,
-//! and one request on trial bounds what its return can cost.
+//! Reason for the limits: a pause that doubles keeps a flapping replica out for longer each time, and a
+//! single request on trial limits what its return can cost.
 //!
 //! Invariants: the pause grows only with failures after a pause; one good answer on trial ends it.
 
 use bluebell_base::prelude::*;
 
-/// The first pause after a failure that says the replica is away.
+/// The first pause after a failure that shows the replica to be away.
 const FIRST_PAUSE_MS: SpanMs = SpanMs(1_000);
 
-/// The longest pause, which bounds how late a replica that came back gets work again.
+/// The longest pause. It bounds how late a replica that came back gets work again.
 const LONGEST_PAUSE_MS: SpanMs = SpanMs(8_000);
 
-/// The weight of the newest answer in the failure share: about the last eight answers count.
+/// The weight of the newest answer in the moving failure share: about the last eight answers count.
 const NEWEST_WEIGHT: f32 = 0.12;
 
-/// The failure share above which a replica is doubted. Sound replicas of the users' services fail
-/// up to one call in seven by themselves.
-const DOUBTED_SHARE: f32 = 0.32;
+/// The failure share above which a replica is doubted. Sound replicas of the users' services fail up
+/// to one call in seven by themselves.
+const DOUBT_FAILURE_SHARE: f32 = 0.32;
 
-/// What an answer, or its absence, says about a replica.
+/// The meaning of an answer, or of its absence, for the health of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Symptom {
-    /// A whole answer, or the first event of a stream.
+    /// The replica sent a whole answer, or the first event of a stream.
     Good,
-    /// It can't be reached, or reset the connection.
+    /// The replica can't be reached, or it reset the connection.
     Unreachable,
-    /// It is silent for longer than its work can take.
+    /// The replica is silent for longer than its work can take.
     Silent,
-    /// It answered with a failure of its own, or broke an answer off.
+    /// The replica answered with a failure of its own, or broke off an answer.
     Failed,
-    /// It said that it is full.
+    /// The replica reported that it is full.
     Full,
-    /// Its answer wasn't the answer to the request.
+    /// The replica returned something that isn't the answer to the request.
     Mismatched,
-    /// It had no time to show anything.
+    /// The replica had too little time for any conclusion.
     Inconclusive,
 }
 
 impl Symptom {
-    /// What a silence of `waited_ms` says of a replica that was expected to answer after
-    /// `expected_ms`. Some callers leave so little time that no replica could answer: doubting it
-    /// for that took sound ones out for seconds.
+    /// Returns the symptom of a replica that has been silent for `waited_ms` and was expected to answer
+    /// within `expected_ms`. Some callers leave so little time that no replica could answer. Doubting a
+    /// replica for that took sound ones out of service for seconds.
     pub fn of_silence(waited_ms: SpanMs, expected_ms: SpanMs) -> Self {
         match waited_ms >= expected_ms {
             true => Symptom::Silent,
@@ -54,14 +54,14 @@
     }
 }
 
-/// The trust in one replica.
+/// The health of one replica.
 #[derive(Clone, Debug)]
 pub struct Health {
     failure_share: f32,
     pause_ms: SpanMs,
     doubted_until_ms: Option<MonoMs>,
     on_trial: u32,
-    garbled_at_ms: Option<MonoMs>,
+    mismatched_at_ms: Option<MonoMs>,
 }
 
 impl Default for Health {
@@ -71,47 +71,47 @@
             pause_ms: SpanMs::ZERO,
             doubted_until_ms: None,
             on_trial: 0,
-            garbled_at_ms: None,
+            mismatched_at_ms: None,
         }
     }
 }
 
 impl Health {
-    /// Takes a symptom in; returns whether the replica became doubted by it.
+    /// Records a symptom. Returns true if the replica became doubted by it.
     pub fn on_symptom(&mut self, symptom: Symptom, now_ms: MonoMs) -> bool {
         match symptom {
             Symptom::Good => {
-                self.fade(0.0);
+                self.update_failure_share(0.0);
                 if self.is_doubted(now_ms) {
                     return false;
                 }
                 self.doubted_until_ms = None;
-                if self.failure_share < DOUBTED_SHARE / 2.0 {
+                if self.failure_share < DOUBT_FAILURE_SHARE / 2.0 {
                     self.pause_ms = SpanMs::ZERO;
                 }
                 false
             }
             Symptom::Unreachable | Symptom::Silent => {
-                self.fade(1.0);
-                self.doubt(now_ms)
+                self.update_failure_share(1.0);
+                self.start_pause(now_ms)
             }
             Symptom::Failed => {
-                self.fade(1.0);
-                self.failure_share > DOUBTED_SHARE && self.doubt(now_ms)
+                self.update_failure_share(1.0);
+                self.failure_share > DOUBT_FAILURE_SHARE && self.start_pause(now_ms)
             }
             Symptom::Mismatched => {
-                self.garbled_at_ms = Some(now_ms);
+                self.mismatched_at_ms = Some(now_ms);
                 false
             }
             Symptom::Full | Symptom::Inconclusive => false,
         }
     }
 
-    fn fade(&mut self, newest: f32) {
+    fn update_failure_share(&mut self, newest: f32) {
         self.failure_share += (newest - self.failure_share) * NEWEST_WEIGHT;
     }
 
-    fn doubt(&mut self, now_ms: MonoMs) -> bool {
+    fn start_pause(&mut self, now_ms: MonoMs) -> bool {
         if self.is_doubted(now_ms) {
             return false;
         }
@@ -121,7 +121,7 @@
         true
     }
 
-    /// A peer doubts the replica until then.
+    /// Records that a peer doubts the replica until `until_ms`.
     pub fn on_peer_doubt(&mut self, until_ms: MonoMs) {
         let until_ms = self
             .doubted_until_ms
@@ -129,13 +129,14 @@
         self.doubted_until_ms = Some(until_ms);
     }
 
-    /// Whether it gets no work at all.
+    /// Returns true if the replica gets no work at all.
     pub fn is_doubted(&self, now_ms: MonoMs) -> bool {
         self.doubted_until_ms
             .is_some_and(|until_ms| now_ms < until_ms)
     }
 
-    /// Whether it may get a request: it is trusted, or nothing is on trial.
+    /// Returns true if the replica may get a request: it isn't doubted, or its pause is over and no
+    /// request is on trial.
     pub fn admits(&self, now_ms: MonoMs) -> bool {
         match self.doubted_until_ms {
             None => true,
@@ -143,7 +144,7 @@
         }
     }
 
-    /// A request was sent; returns whether it is on trial.
+    /// Records that a request was sent. Returns true if the request is on trial.
     pub fn begin(&mut self) -> bool {
         if self.doubted_until_ms.is_none() {
             return false;
@@ -152,14 +153,14 @@
         true
     }
 
-    /// A request that was on trial has ended.
+    /// Records the end of a request that was on trial.
     pub fn end_trial(&mut self) {
         self.on_trial = self.on_trial.saturating_sub(1);
     }
 
-    /// Whether it mixed up answers within the last `span_ms`.
+    /// Returns true if the replica sent a mismatched answer within the last `span_ms`.
     pub fn mismatched_within(&self, span_ms: SpanMs, now_ms: MonoMs) -> bool {
-        self.garbled_at_ms
+        self.mismatched_at_ms
             .is_some_and(|at_ms| now_ms.since(at_ms) < span_ms)
     }
 }
--- a/crates/fleet/src/replicas/replica.rs
+++ b/crates/fleet/src/replicas/replica.rs
@@ -1,6 +1,6 @@
-//! One replica as the directory lists it: its name, its start and the key of both.
+//! One replica as the directory lists it: its instance name, its start and the key of both.
 //!
-//! Invariants: a key stands for one start of one instance; a later start has another.
+//! Invariants: a key stands for one start of one instance; a later start has another key.
 
 use bluebell_base::prelude::*;
 use rustc_hash::FxHasher;
@@ -9,26 +9,26 @@
 use std::hash::Hasher;
 use std::net::SocketAddr;
 
-/// When a run of a replica began, in Unix ms by its own clock. It only orders the starts of one
-/// instance and is never compared with a node's clock, which may jump.
+/// The start of a run of a replica, in Unix ms by the replica's own clock. It only orders the starts
+/// of one instance and is never compared with a node's clock, which may jump.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaStart(pub u64);
 
 impl ReplicaStart {
-    /// The replica doesn't say; any start that is told is later.
+    /// The start of a replica that doesn't report one. Any reported start is later.
     pub const UNKNOWN: Self = Self(0);
 }
 
-/// A replica's key as all nodes know it: a hash of its instance name and its start.
+/// A replica's key, the same on all nodes: a hash of its instance name and its start.
 ///
-/// Four bytes keep what nodes tell each other short. Among 1,800 replicas two share a key with a
-/// chance of 4 in 10,000; both would then count as one load, which is wrong and harmless.
+/// Four bytes keep gossip short. Among 1,800 replicas two share a key with a probability of 4 in
+/// 10,000; both would then count as one load, which is wrong and harmless.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(into = "String")]
 pub struct ReplicaKey(pub u32);
 
 impl ReplicaKey {
-    /// The key of the replica that calls itself `instance` and began at `started`.
+    /// Returns the key of the replica `instance` that started at `started`.
     pub fn of(instance: &str, started: ReplicaStart) -> Self {
         let mut hasher = FxHasher::default();
         hasher.write(instance.as_bytes());
@@ -50,38 +50,38 @@
     }
 }
 
-/// Whether a replica takes work.
+/// The state of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaState {
-    /// It takes work.
+    /// The replica accepts work.
     Ready,
-    /// It finishes what it has and leaves.
+    /// The replica finishes the work that it has and leaves.
     Draining,
 }
 
 /// A replica as the directory lists it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Replica {
-    /// Its name, which may outlast a restart.
+    /// The instance name, which may outlast a restart.
     pub instance: Arc<str>,
-    /// When this run of it began.
+    /// The start of this run.
     pub started: ReplicaStart,
     /// The service that it belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: DomainName,
-    /// The most requests that it runs at once.
+    /// The maximum number of requests that it runs at once.
     pub slots: u32,
-    /// Whether it takes work.
+    /// The state that its entry reports.
     pub state: ReplicaState,
 }
 
-/// A change in the directory.
+/// A change of an entry in the directory.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplicaChange {
-    /// The replica is listed so.
+    /// The replica is listed with these properties.
     Listed(Replica),
     /// The entry of this instance is gone.
     Removed(Arc<str>),
@@ -89,15 +89,15 @@
     Missing(Arc<str>),
     /// The entry of this instance can't be read.
     Unreadable {
-        /// The instance.
+        /// The instance name.
         instance: Arc<str>,
-        /// What is wrong with the entry.
+        /// The fault in the entry.
         why: Arc<str>,
     },
 }
 
 impl Replica {
-    /// Its key.
+    /// Returns the replica's key.
     pub fn key(&self) -> ReplicaKey {
         ReplicaKey::of(&self.instance, self.started)
     }
--- a/crates/fleet/src/replicas/table.rs
+++ b/crates/fleet/src/replicas/table.rs
@@ -1,6 +1,6 @@
-//! The table of all known replicas, changed by the directory's updates.
+//! The table of all known replicas, which follows the directory's updates.
 //!
-//! Invariants: see [`super`]; a change that was taken in before changes nothing.
+//! Invariants: see [`super`]; a change that was already applied changes nothing.
 
 use super::{Health, Replica, ReplicaChange, ReplicaKey, ReplicaStart, ReplicaState};
 use crate::leaving::LeavingReplicas;
@@ -10,29 +10,29 @@
 use std::hash::Hasher;
 use std::net::SocketAddr;
 
-/// How long after the directory's return a lapsed replica is still used. The users' platform lists
-/// those that live within two seconds again.
-const RELIST_MS: SpanMs = SpanMs(2_000);
+/// The time for which a lapsed replica is still used after the directory's return. The users' platform
+/// lists live replicas again within two seconds.
+const RELIST_WINDOW_MS: SpanMs = SpanMs(2_000);
 
-/// How long a removed replica's start is remembered: an entry that was read before the removal
-/// travels between nodes for less.
-const REMOVED_REMEMBERED_MS: SpanMs = SpanMs(30_000);
+/// The time for which the start of a removed replica is remembered. An entry that was read before the
+/// removal takes less time to travel between nodes.
+const REMOVED_RETENTION_MS: SpanMs = SpanMs(30_000);
 
-/// A hash of which replicas are listed, and which of them take work. Two nodes with the same one have
-/// seen the same replicas come and go.
+/// A hash over the listed replicas and their states. Two nodes with equal fingerprints know of the same
+/// replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fingerprint(pub u64);
 
-/// What a change did to the table.
+/// The effect of a directory change on the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TableEvent {
-    /// A replica that wasn't known.
+    /// An unknown replica was listed.
     Found,
-    /// A known replica has started again; what the earlier start had in hand is lost.
+    /// A known replica has started again; the work in flight of its earlier start is lost.
     Restarted,
-    /// An entry that names no replica to use, seen for the first time.
+    /// An entry that names no usable replica was seen for the first time.
     Unusable,
-    /// A known replica stopped taking work.
+    /// A known replica stopped accepting work.
     Leaving,
     /// A replica's entry is gone.
     Removed,
@@ -40,7 +40,7 @@
     Lapsed,
     /// A lapsed entry is listed again.
     Relisted,
-    /// Nothing that matters for work.
+    /// Nothing changed that matters for work.
     Unchanged,
 }
 
@@ -49,60 +49,60 @@
     replica: Arc<Replica>,
     health: Health,
     lapsed_at_ms: Option<MonoMs>,
-    /// Whether it is used although its entry has lapsed: an older copy of the directory doesn't know it.
+    /// True if the replica is used although its entry has lapsed: an older copy of the directory lacks it.
     kept: bool,
 }
 
 /// All known replicas.
 #[derive(Debug, Default)]
 pub struct ReplicaTable {
-    /// The replicas whose answers said that they leave.
+    /// The replicas whose answers reported that they leave.
     pub leaving_replicas: LeavingReplicas,
     rows: FxHashMap<ReplicaKey, Row>,
     /// The key of each known instance's latest start.
     keys: FxHashMap<Arc<str>, ReplicaKey>,
-    /// The starts of instances that were removed lately, and when.
+    /// The starts of recently removed instances, with the time of removal.
     removed: FxHashMap<Arc<str>, (ReplicaStart, MonoMs)>,
-    /// The instances whose last entry was found unusable, so that each is told of once.
+    /// The instances whose last entry was found unusable, so that each is reported once.
     unusable: FxHashSet<Arc<str>>,
-    /// The services of the configuration; none before the first.
+    /// The services of the configuration, or `None` before the first configuration.
     services: Option<FxHashSet<ServiceName>>,
-    /// When the directory was last found back after it had been away.
-    back_at_ms: Option<MonoMs>,
-    /// When it was found to have come back from an older copy.
-    renewed_at_ms: Option<MonoMs>,
-    away: bool,
+    /// The time at which the directory was last readable again after it had been away.
+    directory_back_ms: Option<MonoMs>,
+    /// The time at which the directory was last found to have come back from an older copy.
+    restored_at_ms: Option<MonoMs>,
+    directory_away: bool,
 }
 
 impl ReplicaTable {
-    /// The directory can't be read.
+    /// Records that the directory can't be read.
     pub fn on_directory_lost(&mut self) {
-        self.away = true;
+        self.directory_away = true;
     }
 
-    /// The directory was read; entries that lapsed meanwhile get time to return.
+    /// Records that the directory was read. Entries that lapsed meanwhile get time to return.
     pub fn on_directory_read(&mut self, now_ms: MonoMs) {
-        if self.away {
-            self.back_at_ms = Some(now_ms);
+        if self.directory_away {
+            self.directory_back_ms = Some(now_ms);
         }
-        self.away = false;
+        self.directory_away = false;
     }
 
-    /// The directory came back from an older copy: replicas that began since are missing until they
-    /// write again, and some that left are listed.
+    /// Records that the directory came back from an older copy. Replicas that began since then are missing
+    /// until they write their entries again, and some that left are listed.
     pub fn on_directory_renewed(&mut self, now_ms: MonoMs) {
-        self.back_at_ms = Some(now_ms);
-        self.renewed_at_ms = Some(now_ms);
+        self.directory_back_ms = Some(now_ms);
+        self.restored_at_ms = Some(now_ms);
     }
 
-    /// Whether entries that the older copy lacks may still return.
+    /// Returns true while entries that the older copy lacks may still return.
     pub fn awaits_rewrites(&self, now_ms: MonoMs) -> bool {
-        let renewed = self.renewed_at_ms;
-        renewed.is_some_and(|at_ms| now_ms.since(at_ms) < RELIST_MS)
+        let restored = self.restored_at_ms;
+        restored.is_some_and(|at_ms| now_ms.since(at_ms) < RELIST_WINDOW_MS)
     }
 
-    /// Whether an entry of an older copy says less than is known: its replica has left since, or is
-    /// leaving. If it lives all the same it writes again.
+    /// Returns true if an entry of an older copy is out of date: its replica has left since then, or is
+    /// leaving. If the replica lives nevertheless, it writes its entry again.
     pub fn is_outdated(&self, change: &ReplicaChange) -> bool {
         let ReplicaChange::Listed(replica) = change else {
             return false;
@@ -114,14 +114,14 @@
         left || (leaves && replica.state == ReplicaState::Ready)
     }
 
-    /// Whether entries that are missing may still return, since the directory was away.
+    /// Returns true while missing entries may still return because the directory was away.
     pub fn awaits_relisting(&self, now_ms: MonoMs) -> bool {
-        let back = self.back_at_ms;
-        self.away || back.is_some_and(|at_ms| now_ms.since(at_ms) < RELIST_MS)
+        let back = self.directory_back_ms;
+        self.directory_away || back.is_some_and(|at_ms| now_ms.since(at_ms) < RELIST_WINDOW_MS)
     }
 
-    /// The services that the configuration in force names. Entries of others are kept, since a later
-    /// configuration may name them, but take no place from a replica that is in use.
+    /// Sets the services that the configuration in force names. Entries of other services are kept, since a
+    /// later configuration may name them, but they displace no replica that is in use.
     pub fn set_services(&mut self, services: impl Iterator<Item = ServiceName>) {
         self.services = Some(services.collect());
     }
@@ -131,7 +131,7 @@
         services.is_none_or(|services| services.contains(service))
     }
 
-    /// Takes a change in.
+    /// Applies a change of the directory.
     pub fn apply(&mut self, change: ReplicaChange, now_ms: MonoMs) -> TableEvent {
         match change {
             ReplicaChange::Listed(replica) => self.list(replica),
@@ -141,9 +141,9 @@
         }
     }
 
-    /// An entry that names no replica to use says nothing of one that an earlier entry of the same
-    /// instance named: that one is used until its own next entry, its removal or its answers say
-    /// otherwise. Taken for a removal, a writer that spoils entries would take the fleet out.
+    /// Records an entry that names no usable replica. It doesn't affect a replica that an earlier entry of
+    /// the same instance named: that one is used until its own next entry, its removal or its answers say
+    /// otherwise. If it counted as a removal, a writer that corrupts entries would take the fleet out.
     fn note_unusable(&mut self, instance: Arc<str>) -> TableEvent {
         match self.unusable.insert(instance) {
             true => TableEvent::Unusable,
@@ -155,9 +155,9 @@
         let known = self.keys.get(&replica.instance).copied();
         let row = known.and_then(|key| self.rows.get(&key));
         if let Some(row) = row {
-            let usurps =
+            let displaces =
                 !self.is_configured(&replica.service) && self.is_configured(&row.replica.service);
-            if usurps {
+            if displaces {
                 return self.note_unusable(replica.instance);
             }
         }
@@ -204,7 +204,7 @@
 
     fn insert(&mut self, key: ReplicaKey, replica: Replica) {
         if self.is_configured(&replica.service) {
-            self.free_address(replica.address);
+            self.remove_at_address(replica.address);
         }
         self.removed.remove(&replica.instance);
         self.keys.insert(replica.instance.clone(), key);
@@ -217,17 +217,17 @@
         self.rows.insert(key, row);
     }
 
-    /// Drops who was known at an address that another replica has now.
-    fn free_address(&mut self, address: SocketAddr) {
-        let there = self.rows.iter();
-        let there = there.filter(|(_, row)| row.replica.address == address);
-        let there: Vec<ReplicaKey> = there.map(|(key, _)| *key).collect();
-        for key in there {
-            self.drop_row(key);
+    /// Removes the replicas known at an address that another replica has now.
+    fn remove_at_address(&mut self, address: SocketAddr) {
+        let at_address = self.rows.iter();
+        let at_address = at_address.filter(|(_, row)| row.replica.address == address);
+        let at_address: Vec<ReplicaKey> = at_address.map(|(key, _)| *key).collect();
+        for key in at_address {
+            self.remove_row(key);
         }
     }
 
-    fn drop_row(&mut self, key: ReplicaKey) -> Option<Row> {
+    fn remove_row(&mut self, key: ReplicaKey) -> Option<Row> {
         let row = self.rows.remove(&key)?;
         self.keys.remove(&row.replica.instance);
         Some(row)
@@ -246,7 +246,7 @@
             row.kept = false;
             return TableEvent::Lapsed;
         }
-        match self.drop_row(key) {
+        match self.remove_row(key) {
             Some(row) => {
                 let replica = &row.replica;
                 let start = (replica.started, now_ms);
@@ -257,8 +257,8 @@
         }
     }
 
-    /// An older copy of the directory lacks the entry: its replica may have begun since, and is used until
-    /// it had time to write again.
+    /// Records that an older copy of the directory lacks the entry. Its replica may have begun after the
+    /// copy was made, so it is used until it had time to write its entry again.
     fn keep_missing(&mut self, instance: &str, now_ms: MonoMs) -> TableEvent {
         let seen = self.remove(instance, now_ms);
         let key = self.keys.get(instance);
@@ -268,25 +268,25 @@
         seen
     }
 
-    /// Keeps only `listed`, the whole directory as just read; lapses are judged as for
-    /// [`ReplicaTable::apply`].
+    /// Removes all replicas but `listed`, the whole directory as just read. A missing entry lapses or is
+    /// removed as in [`ReplicaTable::apply`].
     pub fn retain_listed(&mut self, listed: &[Arc<str>], now_ms: MonoMs) {
         for instance in self.missing_from(listed) {
             self.remove(&instance, now_ms);
         }
     }
 
-    /// The known instances that `listed` lacks.
+    /// Returns the known instances that `listed` lacks.
     pub fn missing_from(&self, listed: &[Arc<str>]) -> Vec<Arc<str>> {
         let listed: FxHashSet<&Arc<str>> = listed.iter().collect();
         let known = self.keys.keys();
         known.filter(|i| !listed.contains(i)).cloned().collect()
     }
 
-    /// Drops lapsed replicas that the directory didn't list again; returns those dropped.
+    /// Removes lapsed replicas that the directory didn't list again. Returns the removed ones.
     pub fn expire(&mut self, now_ms: MonoMs) -> Vec<Arc<Replica>> {
         self.removed
-            .retain(|_, (_, at_ms)| now_ms.since(*at_ms) < REMOVED_REMEMBERED_MS);
+            .retain(|_, (_, at_ms)| now_ms.since(*at_ms) < REMOVED_RETENTION_MS);
         let rows = &self.rows;
         self.leaving_replicas
             .expire(|key| rows.contains_key(&key), now_ms);
@@ -296,30 +296,30 @@
         let lapsed = self.rows.iter();
         let lapsed = lapsed.filter(|(_, row)| row.lapsed_at_ms.is_some());
         let lapsed: Vec<ReplicaKey> = lapsed.map(|(key, _)| *key).collect();
-        let dropped = lapsed.into_iter().filter_map(|key| self.drop_row(key));
+        let dropped = lapsed.into_iter().filter_map(|key| self.remove_row(key));
         dropped.map(|row| row.replica).collect()
     }
 
-    /// A replica that answered as another instance is gone from its address.
+    /// Removes a replica whose address answered as another instance.
     pub fn on_instance_mismatch(&mut self, key: ReplicaKey) {
-        self.drop_row(key);
+        self.remove_row(key);
     }
 
-    /// Whether a later start of this replica is known.
+    /// Returns true if a later start of this replica is known.
     pub fn has_restarted(&self, replica: &Replica) -> bool {
         let known = self.keys.get(&replica.instance);
         known.is_some_and(|key| *key != replica.key())
     }
 
-    /// Whether another instance is known at this replica's address, which was given to it after this
-    /// one had ended.
+    /// Returns true if another instance is known at this replica's address. The address was then given to
+    /// that instance after this replica had ended.
     pub fn is_address_reused(&self, replica: &Replica) -> bool {
         let known = self.rows.values().map(|row| &row.replica);
-        let mut there = known.filter(|known| known.address == replica.address);
-        there.any(|known| known.instance != replica.instance)
+        let mut at_address = known.filter(|known| known.address == replica.address);
+        at_address.any(|known| known.instance != replica.instance)
     }
 
-    /// The replica of a configured service at `address`.
+    /// Returns the replica of a configured service at `address`.
     pub fn at(&self, address: SocketAddr) -> Option<ReplicaKey> {
         let mut rows = self.rows.iter();
         let found = rows.find(|(_, row)| {
@@ -328,27 +328,27 @@
         found.map(|(key, _)| *key)
     }
 
-    /// The replica with this key.
+    /// Returns the replica with this key.
     pub fn get(&self, key: ReplicaKey) -> Option<&Arc<Replica>> {
         self.rows.get(&key).map(|row| &row.replica)
     }
 
-    /// The trust in a replica.
+    /// Returns the health of a replica.
     pub fn health(&self, key: ReplicaKey) -> Option<&Health> {
         self.rows.get(&key).map(|row| &row.health)
     }
 
-    /// The trust in a replica, to change it.
+    /// Returns the health of a replica for changes.
     pub fn health_mut(&mut self, key: ReplicaKey) -> Option<&mut Health> {
         self.rows.get_mut(&key).map(|row| &mut row.health)
     }
 
-    /// Whether a replica takes work, by its entry and by its answers.
+    /// Returns true if a replica accepts work, by its entry and by its answers.
     pub fn takes_work(&self, replica: &Replica) -> bool {
         replica.state == ReplicaState::Ready && !self.leaving_replicas.contains(replica.key())
     }
 
-    /// The replicas of `service` that take work, in the order that all nodes share.
+    /// Returns the replicas of `service` that accept work, in an order that is the same on all nodes.
     pub fn ready<'a>(
         &'a self,
         service: &'a ServiceName,
@@ -359,17 +359,17 @@
             .filter(|(_, row)| row.replica.service == *service && self.takes_work(&row.replica));
         let (lapsed, listed): (Vec<_>, Vec<_>) =
             rows.partition(|(_, row)| row.lapsed_at_ms.is_some() && !row.kept);
-        // Entries that lapse because the directory was away lapse together. A few that are missing
-        // are replicas that left: work sent to them would reach them after their last moment.
+        // Entries that lapse because the directory was away lapse together. If only a few are missing,
+        // their replicas have left, and work sent to them would arrive after their end.
         let mut ready = listed;
         if lapsed.len() > ready.len() {
             ready.extend(lapsed);
         }
-        // Where replicas tell their starts, an entry without one wasn't written by a replica.
-        let untold = |row: &Row| row.replica.started == ReplicaStart::UNKNOWN;
-        let strangers = ready.iter().filter(|(_, row)| untold(row)).count();
-        if strangers * 2 < ready.len() {
-            ready.retain(|(_, row)| !untold(row));
+        // If most replicas report their starts, an entry without one wasn't written by a replica.
+        let has_no_start = |row: &Row| row.replica.started == ReplicaStart::UNKNOWN;
+        let without_start = ready.iter().filter(|(_, row)| has_no_start(row)).count();
+        if without_start * 2 < ready.len() {
+            ready.retain(|(_, row)| !has_no_start(row));
         }
         ready.sort_unstable_by_key(|(key, _)| **key);
         let seen = ready.into_iter();
@@ -377,7 +377,7 @@
             .collect()
     }
 
-    /// How the table looks; lapsed replicas count as gone.
+    /// Returns the fingerprint of the table. Lapsed replicas count as gone.
     pub fn fingerprint(&self) -> Fingerprint {
         let listed = self
             .rows
@@ -392,12 +392,12 @@
         Fingerprint(hashes.fold(0, u64::wrapping_add))
     }
 
-    /// How many replicas are known.
+    /// Returns the number of known replicas.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Whether none is known.
+    /// Returns true if no replica is known.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
--- a/crates/fleet/tests/replicas.rs
+++ b/crates/fleet/tests/replicas.rs
@@ -1,4 +1,4 @@
-//! The table of replicas.
+//! Tests of the table of replicas.
 
 use bluebell_base::prelude::*;
 use bluebell_fleet::prelude::*;
@@ -27,7 +27,7 @@
     table.apply(ReplicaChange::Listed(replica), MonoMs(10))
 }
 
-fn spoil(table: &mut ReplicaTable, number: u32) -> TableEvent {
+fn corrupt(table: &mut ReplicaTable, number: u32) -> TableEvent {
     let change = ReplicaChange::Unreadable {
         instance: format!("i-{number}").into(),
         why: "not JSON".into(),
@@ -52,9 +52,9 @@
     table.apply(gone, MonoMs(now_ms));
 }
 
-/// Requests reach a replica three seconds after it left. The directory had turned only this node
-/// away; the replica's entry was removed right after the node could read again. The cause was that
-/// every removal within two seconds of the return was taken for a lapse, and the replica kept.
+/// Guards against requests that reach a replica three seconds after it left. The directory had been
+/// unreadable for this node only, and the replica's entry was removed right after the node could read
+/// again. Every removal within two seconds of the return counted as a lapse, and the replica was kept.
 #[test]
 fn one_removal_after_an_outage_counts_at_once() {
     let mut table = table(16);
@@ -64,9 +64,9 @@
     assert_eq!(ready(&table), 15);
 }
 
-/// All requests are refused for two seconds after an outage of the directory. All entries lapsed
-/// while it was away, it came back without them, and the replicas were sound. The cause would be to
-/// believe a list that the replicas had no time to fill.
+/// Guards against refusing all requests for two seconds after an outage of the directory. All entries
+/// lapsed while it was away, and it came back without them although the replicas were sound. The list
+/// counts only once the replicas had time to write their entries.
 #[test]
 fn replicas_that_lapsed_together_are_used_until_they_could_return() {
     let mut table = table(4);
@@ -75,16 +75,20 @@
     for number in 1..=4 {
         remove(&mut table, number, 5_010);
     }
-    assert_eq!(ready(&table), 4, "the list had no time to fill");
+    assert_eq!(
+        ready(&table),
+        4,
+        "the replicas had no time to write their entries"
+    );
     table.apply(ReplicaChange::Listed(replica(1)), MonoMs(6_000));
     assert!(table.expire(MonoMs(6_900)).is_empty());
     assert_eq!(table.expire(MonoMs(7_100)).len(), 3);
-    assert_eq!(ready(&table), 1, "those that didn't return are gone");
+    assert_eq!(ready(&table), 1, "replicas that didn't return are removed");
 }
 
-/// A caller's request runs at a service that its route doesn't name. A replica died, its address
-/// went to a replica of another service, and a node still held the old entry. The expected instance
-/// stops the run; the table must not keep two replicas at one address either.
+/// Guards against a request that runs at a service that its route doesn't name. A replica died, its
+/// address went to a replica of another service, and a node still had the old entry. The check of the
+/// expected instance stops such a run; the table must not keep two replicas at one address either.
 #[test]
 fn a_new_replica_takes_its_address_from_the_old_one() {
     let mut table = table(2);
@@ -96,9 +100,9 @@
     assert_eq!(table.ready(&ServiceName("board".into())).len(), 1);
 }
 
-/// Requests go to a replica that is leaving. It reported that it drains while it was still listed.
+/// Guards against requests to a replica that reported that it drains while it was still listed.
 #[test]
-fn a_draining_replica_takes_nothing() {
+fn a_draining_replica_gets_no_work() {
     let mut table = table(2);
     let mut leaving = replica(1);
     leaving.state = ReplicaState::Draining;
@@ -106,11 +110,12 @@
     assert_eq!(ready(&table), 1);
 }
 
-/// A node goes on sending to a replica that left. It had missed the change, and believed a peer that
-/// said all was as before. Tables that differ in who takes work have different fingerprints; what
-/// lapsed for one node and is gone for the other makes no difference.
+/// Guards against a node that goes on sending to a replica that left. It had missed the change, and a
+/// peer with an equal fingerprint confirmed its table. Tables that differ in the replicas that accept
+/// work have different fingerprints. A replica that lapsed at one node and is gone at the other makes
+/// no difference.
 #[test]
-fn fingerprints_tell_tables_apart_by_who_takes_work() {
+fn fingerprints_differ_if_other_replicas_accept_work() {
     let (mut one, mut other) = (table(4), table(4));
     assert_eq!(one.fingerprint(), other.fingerprint());
     let mut leaving = replica(2);
@@ -126,25 +131,25 @@
     assert_ne!(one.fingerprint(), other.fingerprint());
 }
 
-/// A request waits for a replica that crashed, and new ones avoid it although it is back. It started
-/// again under its name; trust and work of its earlier start were taken for the new one's.
+/// Guards against health and work of an earlier start that are applied to a replica that started again
+/// under its name: requests wait for the crashed one, and new ones avoid it although it is back.
 #[test]
-fn a_replica_that_started_again_has_a_clean_slate() {
+fn a_replica_that_started_again_has_no_earlier_state() {
     let mut table = ReplicaTable::default();
     assert_eq!(list(&mut table, started(1, 100)), TableEvent::Found);
     let (before, after) = (started(1, 100).key(), started(1, 200).key());
-    let doubted = table.health_mut(before).expect("it is known");
+    let doubted = table.health_mut(before).expect("the replica is known");
     doubted.on_symptom(Symptom::Silent, MonoMs(10));
     assert_eq!(list(&mut table, started(1, 200)), TableEvent::Restarted);
     assert!(table.has_restarted(&started(1, 100)));
     assert!(table.get(before).is_none());
-    let health = table.health(after).expect("it is known");
+    let health = table.health(after).expect("the replica is known");
     assert!(health.admits(MonoMs(11)));
     assert_eq!(ready(&table), 1);
 }
 
-/// Requests go to a replica as it was before it crashed. An entry of its earlier start came late,
-/// from a peer or from a directory that lagged, after the new one, or after the new one had left.
+/// Guards against a late entry of an earlier start, from a peer or a lagging directory, that arrives after
+/// the new start was listed, or after it had left.
 #[test]
 fn an_entry_of_an_earlier_start_changes_nothing() {
     let mut table = ReplicaTable::default();
@@ -162,10 +167,10 @@
     assert_eq!(list(&mut table, started(1, 200)), TableEvent::Found);
 }
 
-/// Where a replica starts again: under its name at its address, under its name elsewhere, under
-/// another name at its address, and both changed at once, each also while the directory is away.
+/// Covers all combinations of a restart: same or other name, same or other address, each also while the
+/// directory is away.
 #[test]
-fn every_way_to_start_again_leaves_one_replica() {
+fn every_kind_of_restart_leaves_one_replica() {
     let moved = |replica: Replica| Replica {
         address: "10.0.0.99:80".parse().expect("an address"),
         ..replica
@@ -179,7 +184,7 @@
         (later.clone(), 1),
         (moved(later.clone()), 1),
         (renamed(later.clone()), 1),
-        // Nothing ties this one to the first, whose entry lapses by itself.
+        // Nothing connects this replica to the first one, whose entry lapses by itself.
         (moved(renamed(later)), 2),
     ];
     for (way, left) in ways {
@@ -201,50 +206,50 @@
     }
 }
 
-/// All replicas of a service are gone at once. Something else wrote entries over theirs that can't be
-/// read, and each was taken for a removal. An entry says nothing where it can't be read, and is told
-/// of once.
+/// Guards against unreadable entries that remove all replicas of a service. Another writer overwrote the
+/// replicas' entries, and each one counted as a removal. An unreadable entry changes nothing, and is
+/// reported once.
 #[test]
-fn an_unreadable_entry_takes_no_replica_out() {
+fn an_unreadable_entry_removes_no_replica() {
     let mut table = table(3);
-    assert_eq!(spoil(&mut table, 2), TableEvent::Unusable);
-    assert_eq!(spoil(&mut table, 2), TableEvent::Unchanged);
-    assert_eq!(spoil(&mut table, 7), TableEvent::Unusable);
+    assert_eq!(corrupt(&mut table, 2), TableEvent::Unusable);
+    assert_eq!(corrupt(&mut table, 2), TableEvent::Unchanged);
+    assert_eq!(corrupt(&mut table, 7), TableEvent::Unusable);
     assert_eq!(ready(&table), 3);
     list(&mut table, replica(2));
-    assert_eq!(spoil(&mut table, 2), TableEvent::Unusable);
+    assert_eq!(corrupt(&mut table, 2), TableEvent::Unusable);
     remove(&mut table, 2, 30);
     assert_eq!(ready(&table), 2);
 }
 
-/// A sound replica gets nothing more. An entry of a service that no configuration names had its
-/// address, or its name. The service may be named later, so the entry is kept, without harm.
+/// Guards against a sound replica that gets no more work because an entry of an unconfigured service has
+/// its address or its name. That service may be named later, so the entry is kept, without any effect.
 #[test]
-fn an_entry_of_an_unknown_service_takes_no_place() {
+fn an_entry_of_an_unknown_service_displaces_no_replica() {
     let mut table = table(2);
     let drafts = ServiceName("drafts".into());
     table.set_services([drafts].into_iter());
-    let strange = |number: u32, instance: &str| Replica {
+    let unknown = |number: u32, instance: &str| Replica {
         instance: instance.into(),
         service: ServiceName("strange".into()),
         ..started(number, 900)
     };
-    list(&mut table, strange(1, "i-50"));
-    assert_eq!(list(&mut table, strange(2, "i-2")), TableEvent::Unusable);
+    list(&mut table, unknown(1, "i-50"));
+    assert_eq!(list(&mut table, unknown(2, "i-2")), TableEvent::Unusable);
     assert_eq!(ready(&table), 2);
     assert_eq!(table.ready(&ServiceName("strange".into())).len(), 1);
 }
 
-/// A request is sent to an address that no replica of the service has. Replicas tell when they
-/// started, always; an entry that doesn't stood among theirs. Where hardly any tells, none is held
-/// against the others.
+/// Guards against a request that is sent to an address that no replica of the service has. All replicas
+/// report their starts, and an entry without one stands among theirs. If few replicas report a start,
+/// entries without one are used as well.
 #[test]
-fn where_replicas_tell_their_start_an_entry_without_one_names_none() {
+fn an_entry_without_a_start_is_ignored_if_most_report_one() {
     let mut table = table(1);
     list(&mut table, started(2, 100));
     list(&mut table, started(3, 100));
     assert_eq!(ready(&table), 2);
-    let mut untold = self::table(3);
-    list(&mut untold, started(4, 100));
-    assert_eq!(ready(&untold), 4);
+    let mut mostly_without = self::table(3);
+    list(&mut mostly_without, started(4, 100));
+    assert_eq!(ready(&mostly_without), 4);
 }
