--- a/crates/fleet/tests/leaving.rs
+++ b/crates/fleet/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Replicas that said in their answers that they leave.
+//! Tests of replicas that report in their answers that they leave.
 
 use bluebell_base::prelude::*;
 use bluebell_fleet::prelude::*;
@@ -23,9 +23,9 @@
     ready.iter().map(|(_, r, _)| r.instance.clone()).collect()
 }
 
-/// Guards against an entry from before that brings a replica back which said that it leaves.
+/// Guards against an earlier entry that brings back a replica that reported that it leaves.
 #[test]
-fn an_entry_does_not_take_back_what_an_answer_said() {
+fn an_entry_does_not_revoke_a_report_of_leaving() {
     let mut table = ReplicaTable::default();
     table.apply(listed("i-1", 1_000, 1), MonoMs(0));
     let key = ReplicaKey::of("i-1", ReplicaStart(1_000));
@@ -40,9 +40,9 @@
     assert!(ready(&table).is_empty());
 }
 
-/// Guards against a later start of a replica that is kept out for what its earlier one said.
+/// Guards against a later start of a replica that is excluded for a report of its earlier start.
 #[test]
-fn a_later_start_does_not_leave() {
+fn a_later_start_is_not_leaving() {
     let mut table = ReplicaTable::default();
     table.apply(listed("i-1", 1_000, 1), MonoMs(0));
     let key = ReplicaKey::of("i-1", ReplicaStart(1_000));
@@ -51,9 +51,9 @@
     assert_eq!(ready(&table), [Arc::from("i-1")]);
 }
 
-/// Guards against a replica that peers are notified of without end, or by all who were notified.
+/// Guards against notices that are repeated without end, or by nodes that were only notified.
 #[test]
-fn peers_are_notified_by_who_heard_it_and_for_a_while() {
+fn only_the_node_that_got_the_answer_notifies_peers_for_some_seconds() {
     let mut leaving_replicas = LeavingReplicas::default();
     leaving_replicas.on_answer(ReplicaKey(1), MonoMs(0));
     leaving_replicas.on_notified(ReplicaKey(2), MonoMs(0));
@@ -64,7 +64,7 @@
 
 /// Guards against memory that grows with every replica that ever left.
 #[test]
-fn what_is_long_gone_is_forgotten() {
+fn replicas_that_are_long_gone_are_forgotten() {
     let mut leaving_replicas = LeavingReplicas::default();
     leaving_replicas.on_answer(ReplicaKey(1), MonoMs(0));
     leaving_replicas.on_answer(ReplicaKey(2), MonoMs(0));
