--- a/crates/fleet/src/freshness/mod.rs
+++ b/crates/fleet/src/freshness/mod.rs
@@ -1,16 +1,16 @@
-//! How far the configuration in force is behind the newest one that the node knows of.
+//! The lag of the configuration in force behind the newest one that the node knows of.
 //!
-//! Terms: a version is *known* once the node read it or a peer named it; a node is *behind* while it
+//! Terms: a version is *known* once the node read it or a peer named it. A node is *behind* while it
 //! knows of a newer version than the one in force.
 //!
-//! Invariants: neither version ever falls; a node without a configuration isn't behind.
+//! Invariants: neither version ever decreases; a node without a configuration isn't behind.
 
 use bluebell_base::prelude::*;
 
-/// From when on a node that is behind says so in its log.
+/// The lag from which a node reports in its log that it is behind.
 const REPORT_AFTER_MS: SpanMs = SpanMs(1_000);
 
-/// A version, and when it became what it is here.
+/// A version, and the time at which it came into force or became known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Since {
     version: ConfigVersion,
@@ -26,32 +26,33 @@
     reported: bool,
 }
 
-/// How old both versions are, and for how long the node has been behind.
+/// The ages of both versions, and the lag of the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConfigAges {
-    /// The newest version that is known.
+    /// The newest known version.
     pub newest: ConfigVersion,
-    /// Since when the version in force is.
+    /// The time since the version in force came into force.
     pub in_force_ms: SpanMs,
-    /// Since when the newest version is known.
+    /// The time since the newest version became known.
     pub newest_ms: SpanMs,
-    /// For how long the node has been behind; 0 where it isn't.
+    /// The time for which the node has been behind; 0 if it isn't.
     pub behind_ms: SpanMs,
 }
 
-/// A node that has been behind for long.
+/// The lag of a node that has been behind for long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConfigLag {
     /// The version in force.
     pub in_force: ConfigVersion,
-    /// The newest version that is known.
+    /// The newest known version.
     pub newest: ConfigVersion,
-    /// For how long it has been behind.
+    /// The time for which the node has been behind.
     pub behind_ms: SpanMs,
 }
 
 impl ConfigFreshness {
-    /// A version was read, or a peer named it. Returns whether that is new.
+    /// Records that a version was read, or that a peer named it. Returns true if it is newer than all
+    /// before.
     pub fn on_known(&mut self, version: ConfigVersion, now_ms: MonoMs) -> bool {
         if self.newest.is_some_and(|newest| newest.version >= version) {
             return false;
@@ -66,7 +67,7 @@
         true
     }
 
-    /// A version is in force. Returns for how long the node had been behind it.
+    /// Records that a version is in force. Returns the time for which the node had been behind.
     pub fn on_in_force(&mut self, version: ConfigVersion, now_ms: MonoMs) -> SpanMs {
         let behind_ms = self.behind_ms(now_ms);
         self.on_known(version, now_ms);
@@ -82,24 +83,24 @@
         behind_ms
     }
 
-    /// Whether a newer version than the one in force is known.
+    /// Returns true if a newer version than the one in force is known.
     pub fn is_behind(&self) -> bool {
         let in_force = self.in_force.map(|since| since.version);
         in_force.is_some() && in_force < self.newest()
     }
 
-    /// The newest version that is known.
+    /// Returns the newest known version.
     pub fn newest(&self) -> Option<ConfigVersion> {
         self.newest.map(|since| since.version)
     }
 
-    /// For how long the node has been behind.
+    /// Returns the time for which the node has been behind; zero if it isn't.
     pub fn behind_ms(&self, now_ms: MonoMs) -> SpanMs {
         let since_ms = self.behind_since_ms;
         since_ms.map_or(SpanMs::ZERO, |since_ms| now_ms.since(since_ms))
     }
 
-    /// The lag of a node that has been behind for long, once for each stretch.
+    /// Returns the lag once it is long enough to report, once for each time that the node falls behind.
     pub fn report(&mut self, now_ms: MonoMs) -> Option<ConfigLag> {
         let behind_ms = self.behind_ms(now_ms);
         if self.reported || behind_ms < REPORT_AFTER_MS {
@@ -114,7 +115,7 @@
         })
     }
 
-    /// How old both versions are; none before the first is in force.
+    /// Returns the ages of both versions, or `None` before the first version is in force.
     pub fn ages(&self, now_ms: MonoMs) -> Option<ConfigAges> {
         let (in_force, newest) = (self.in_force?, self.newest?);
         Some(ConfigAges {
--- a/crates/fleet/tests/freshness.rs
+++ b/crates/fleet/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! How far a node's configuration is behind what it knows of.
+//! Tests of the lag of a node's configuration.
 
 use bluebell_base::prelude::*;
 use bluebell_fleet::prelude::*;
@@ -7,7 +7,7 @@
     MonoMs(ms)
 }
 
-/// Guards against a lag that is told too short: it counts from the first version that was missed.
+/// Guards against a lag that is too short: it counts from the first version that was missed.
 #[test]
 fn the_lag_counts_from_the_first_missed_version() {
     let mut freshness = ConfigFreshness::default();
@@ -18,7 +18,7 @@
     assert!(freshness.on_known(ConfigVersion(8), at(400)));
     assert!(!freshness.on_known(ConfigVersion(5), at(500)));
     assert_eq!(freshness.behind_ms(at(600)), SpanMs(500));
-    // The version that comes into force isn't the newest: the rest of the lag is that of the newest.
+    // The version that comes into force isn't the newest one, so the remaining lag is that of the newest.
     assert_eq!(
         freshness.on_in_force(ConfigVersion(5), at(700)),
         SpanMs(600)
@@ -32,7 +32,7 @@
     assert_eq!(freshness.behind_ms(at(9_000)), SpanMs(0));
 }
 
-/// Guards against a log that is silent on a node that stays behind, or full of it.
+/// Guards against a log without a report of a node that stays behind, or with too many of them.
 #[test]
 fn a_long_lag_is_reported_once() {
     let mut freshness = ConfigFreshness::default();
