--- a/crates/fleet/src/stopping/mod.rs
+++ b/crates/fleet/src/stopping/mod.rs
@@ -1,26 +1,26 @@
-//! The course of a planned stop.
+//! The phases of a planned stop.
 //!
-//! Load pattern: the balancer goes on sending new connections for some two seconds, and callers go
-//! on using those that they have. Prompts then still arrive that take longer than what is left of
-//! the grace.
+//! Load pattern: the balancer goes on sending new connections for some two seconds, and callers go on
+//! using the connections that they have. Prompts may then still arrive that take longer than what is
+//! left of the grace period.
 //!
-//! Reason for the limits: for the time that the balancer needs to notice, everything is taken, since
-//! callers can't know better. After that only what ends within the grace is, and the rest is told at
-//! once that it has not run, so that it comes back to another node.
+//! Reason for the limits: while the balancer hasn't noticed the stop, all requests are accepted, since
+//! callers can't know of it. After that, only requests that end within the grace period are accepted.
+//! The others are at once answered as not run, so that they are retried at another node.
 //!
-//! Invariants: a request that was taken is not cut by the end of the process, unless it overruns
-//! its own deadline or was taken while the balancer hadn't noticed.
+//! Invariants: an accepted request isn't cut off by the end of the process, unless it overruns its own
+//! deadline or was accepted before the balancer noticed the stop.
 
 use bluebell_base::prelude::*;
 
-/// How long a stopping node takes everything and leaves idle connections open: the balancer asks
-/// once a second and believes the second answer.
-const NOTICE_MS: SpanMs = SpanMs(2_500);
+/// The time for which a stopping node accepts all requests and leaves idle connections open. The balancer
+/// polls once a second and acts on the second result.
+const BALANCER_NOTICE_MS: SpanMs = SpanMs(2_500);
 
-/// How much earlier than the end of its grace a stopping node ends by itself.
+/// The time before the end of its grace period at which a stopping node ends by itself.
 const GRACE_MARGIN_MS: SpanMs = SpanMs(300);
 
-/// A planned stop.
+/// The schedule of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StopPlan {
     began_ms: MonoMs,
@@ -28,7 +28,7 @@
 }
 
 impl StopPlan {
-    /// A stop that begins now and may take `grace_ms`.
+    /// Returns the plan of a stop that begins now and has a grace period of `grace_ms`.
     pub fn begin(now_ms: MonoMs, grace_ms: SpanMs) -> Self {
         Self {
             began_ms: now_ms,
@@ -36,17 +36,17 @@
         }
     }
 
-    /// When the balancer has noticed: idle connections may be closed.
+    /// Returns the time by which the balancer has noticed the stop, so that idle connections may be closed.
     pub fn notice_end_ms(&self) -> MonoMs {
-        self.began_ms + NOTICE_MS
+        self.began_ms + BALANCER_NOTICE_MS
     }
 
-    /// When the process ends, whatever is open.
+    /// Returns the time at which the process ends, even if requests or connections are open.
     pub fn end_ms(&self) -> MonoMs {
         self.began_ms + SpanMs(self.grace_ms.0.saturating_sub(GRACE_MARGIN_MS.0))
     }
 
-    /// Whether a request that may last until `deadline_ms` is taken.
+    /// Returns true if a request that may last until `deadline_ms` is accepted.
     pub fn accepts(&self, deadline_ms: MonoMs, now_ms: MonoMs) -> bool {
         now_ms < self.notice_end_ms() || deadline_ms < self.end_ms()
     }
--- a/crates/fleet/tests/stopping.rs
+++ b/crates/fleet/tests/stopping.rs
@@ -1,28 +1,28 @@
-//! Planned stops.
+//! Tests of planned stops.
 
 use bluebell_base::prelude::*;
 use bluebell_fleet::stopping::StopPlan;
 
-/// A caller's stream breaks off although only a planned stop is under way. The node got its signal,
-/// the caller's kept connection brought a long prompt six seconds later, the node took it, and its
-/// grace ended while the engine was at work. The cause was that a stopping node took everything.
+/// Guards against a caller's stream that breaks off during a planned stop. A kept connection brought a
+/// long prompt six seconds after the node's signal, the stopping node accepted everything, and its grace
+/// period ended while the engine was at work.
 #[test]
-fn what_can_not_end_within_the_grace_is_not_taken() {
+fn requests_that_can_not_end_within_the_grace_period_are_not_accepted() {
     let plan = StopPlan::begin(MonoMs(10_000), SpanMs(8_000));
     assert!(
         plan.accepts(MonoMs(20_100), MonoMs(10_100)),
-        "the balancer can't have noticed"
+        "the balancer can't have noticed the stop"
     );
     assert!(
         !plan.accepts(MonoMs(24_845), MonoMs(14_845)),
-        "a long prompt late in the stop"
+        "a long prompt late in the stop is not accepted"
     );
     assert!(
         plan.accepts(MonoMs(15_445), MonoMs(14_845)),
-        "a short call still ends in time"
+        "a short call that still ends in time is accepted"
     );
     assert!(
         !plan.accepts(MonoMs(18_100), MonoMs(17_500)),
-        "nor a short call at the very end"
+        "a short call at the very end is not accepted"
     );
 }
