--- a/crates/quarantine/examples/digest_cost.rs
+++ b/crates/quarantine/examples/digest_cost.rs
@@ -1,9 +1,9 @@
-//! What the digest of a request costs by the length of its body. Run with `--release`.
+//! Prints the cost of a request's digest by the length of its body. Run with `--release`.
 
 use bluebell_quarantine::prelude::*;
 use std::time::Instant;
 
-/// How often each length is hashed.
+/// The number of requests that are hashed for each length.
 const ROUNDS: u32 = 50;
 
 fn main() {
--- a/crates/quarantine/src/digest/mod.rs
+++ b/crates/quarantine/src/digest/mod.rs
@@ -1,8 +1,7 @@
-//! Which arrivals are the same request.
+//! The digest that identifies all arrivals of the same request.
 //!
-//! Two arrivals are the same request where account, method, host, path with query, and body are.
-//! Other headers don't count: ids, deadlines and the lengths that callers guess differ from arrival
-//! to arrival.
+//! Two arrivals are the same request if account, method, host, path with query, and body are equal. Other
+//! headers don't count: ids, deadlines and the lengths that callers estimate differ between arrivals.
 
 use bluebell_base::prelude::*;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -10,44 +9,45 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// The bytes of a digest's hash. With 128 bits of a hash for which nobody knows how to make an input
-/// that meets a given one, a caller can't get another's request refused.
+/// The length of a digest's hash in bytes. With 128 bits of a hash without known preimage attacks, a
+/// caller can't get another caller's request refused.
 const HASH_BYTES: usize = 16;
 
-/// The hexadecimal digits of a hash.
+/// The number of hexadecimal digits of a hash.
 const HASH_DIGITS: usize = HASH_BYTES * 2;
 
-/// What makes two arrivals the same request.
+/// The parts of a request that make two arrivals the same request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestParts<'a> {
-    /// The caller's account; empty where the route needs none.
+    /// The caller's account, or an empty string if the route needs none.
     pub account: &'a str,
-    /// The method.
+    /// The HTTP method.
     pub method: &'a str,
-    /// The host that the caller asked for; its case doesn't matter.
+    /// The host that the caller named; its case doesn't matter.
     pub host: &'a str,
-    /// Path and query.
+    /// The path with the query.
     pub target: &'a str,
     /// The whole body.
     pub body: &'a [u8],
 }
 
-/// Stands for all arrivals of one request.
+/// The identity of all arrivals of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestDigest {
-    /// The length of the body: what can't be the same request is told apart without a hash.
+    /// The length of the body. It tells most different requests apart without hashing.
     body_bytes: u32,
     hash: [u8; HASH_BYTES],
 }
 
 impl RequestDigest {
-    /// The digest of a request. A megabyte of body costs two milliseconds of a core (`examples/digest_cost`).
+    /// Returns the digest of a request. A megabyte of body costs two milliseconds of a core
+    /// (`examples/digest_cost`).
     pub fn of(parts: &RequestParts<'_>) -> Self {
         let host = parts.host.to_ascii_lowercase();
         let fields = [parts.account, parts.method, &host, parts.target];
         let mut hasher = Sha256::new();
         for field in fields {
-            // With its length in front of it no field can pass for the end of the one before.
+            // The length before each field keeps two different splits of the same bytes apart.
             hasher.update((field.len() as u64).to_be_bytes());
             hasher.update(field.as_bytes());
         }
@@ -61,12 +61,12 @@
         }
     }
 
-    /// Whether the digest may be that of a request with this body, by its length alone.
+    /// Returns true if the digest may be that of a request with this body, by its length alone.
     pub fn may_be_of(&self, body: &[u8]) -> bool {
         self.body_bytes == Self::length_of(body)
     }
 
-    /// A number that differs from digest to digest.
+    /// Returns the first 64 bits of the hash, a number that differs between digests.
     pub fn number(&self) -> u64 {
         let (number, _) = self.hash.split_first_chunk().expect("a hash is longer");
         u64::from_be_bytes(*number)
@@ -84,7 +84,7 @@
     }
 }
 
-/// A text that isn't a digest.
+/// The error for a text that isn't a digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a request's digest has 32 hexadecimal digits, a dash and its body's length in bytes")]
 pub struct DigestError;
--- a/crates/quarantine/src/evidence/mod.rs
+++ b/crates/quarantine/src/evidence/mod.rs
@@ -1,16 +1,16 @@
-//! What a try shows whose replica ended.
+//! The evidence that an attempt gives if its replica crashes.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// One run of a server; the next start of it has another number.
+/// One run of a server. The next start of the server has another number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ServerRun(pub u32);
 
 impl ServerRun {
-    /// The least number.
+    /// The smallest number.
     pub(crate) const FIRST: Self = Self(0);
-    /// The greatest number.
+    /// The largest number.
     pub(crate) const LAST: Self = Self(u32::MAX);
 }
 
@@ -20,21 +20,21 @@
     }
 }
 
-/// What is known of a request on a replica that ended.
+/// The state of a request on a replica that crashed, as far as it is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Evidence {
-    /// It was there, and may have waited behind others all the while.
+    /// The request was there, and may have been waiting behind others all the time.
     Present,
-    /// It had begun to run.
+    /// The request had begun to run.
     Running,
 }
 
 impl Evidence {
-    /// How much an end counts.
+    /// Returns the points that a crash with this evidence counts.
     ///
-    /// What only waits ends nothing, but an answer's head may be lost with the replica that sent it:
-    /// where no head is ever seen, five ends are needed in place of three.
+    /// A request that only waits crashes nothing, but an answer's head may be lost with the replica that
+    /// sent it. If no head is ever seen, five crashes are needed instead of three.
     pub(crate) fn points(self) -> u32 {
         match self {
             Evidence::Present => 1,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Its name in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Evidence::Present => "present",
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,22 +1,25 @@
-//! Requests that end the replicas that run them: which arrivals are the same request, what its tries
-//! have shown, and when it is run no more.
+//! The quarantine of requests that crash the replicas that run them: which arrivals are the same request,
+//! what its attempts have shown, and when it is refused.
 //!
 //! Terms:
-//! - a *digest* stands for all arrivals of one request, whatever id each of them bears;
-//! - an *end* is a run of a server that ended under a request; a *run* is one start of it;
-//! - a request in *quarantine* is refused; at the end of its *term* comes a *review*: one arrival is
-//!   run, as a *trial*, by one node.
+//! - a *digest* identifies all arrivals of one request, whatever request id each of them has;
+//! - a *run* is one start of a server (a replica). It has *crashed* under a request if it ended while it had
+//!   the request;
+//! - a *suspect* is a request with crashes that isn't in quarantine; a *fatal* request is one whose crashes
+//!   suffice for quarantine;
+//! - a request in *quarantine* is refused. At the end of its *term* comes a *review*: one node runs one
+//!   arrival as a *trial*.
 //!
-//! Load pattern: one request that ends its replica comes again and again, at any node, and each time
-//! ends another one with all that it has in hand.
+//! Load pattern: a request that crashes its replica comes again and again, at any node, and each time
+//! crashes another replica with all work that it has in flight.
 //!
-//! Reason for the limits: a replica that ends takes up to its slots of other requests along, so one
-//! end says little of each. Three ends that no success interrupts say a lot; a request that was
-//! refused wrongly is run again at its review.
+//! Reason for the limits: a replica that crashes may have as many other requests as it has slots, so one
+//! crash proves little about each of them. Three crashes without a success between them prove a lot. A
+//! request that was refused wrongly is run again at its review.
 //!
-//! Invariants: nothing here does I/O or reads a clock; every instant comes in as
-//! [`MonoMs`](bluebell_base::prelude::MonoMs); what nodes tell each other may come twice, late and in
-//! any order.
+//! Invariants: nothing here does I/O or reads a clock; every time is passed in as
+//! [`MonoMs`](bluebell_base::prelude::MonoMs). Notices between nodes may come twice, late and in any
+//! order.
 
 pub mod detection;
 pub mod digest;
@@ -26,7 +29,7 @@
 pub mod review;
 pub mod table;
 
-/// What users of this package import.
+/// The items that users of this package import.
 pub mod prelude {
     pub use crate::detection::DETECTION_DELAY_MS;
     pub use crate::digest::{RequestDigest, RequestParts};
--- a/crates/quarantine/src/notice/mod.rs
+++ b/crates/quarantine/src/notice/mod.rs
@@ -1,40 +1,40 @@
-//! What nodes tell each other of requests that end replicas.
+//! The notices that nodes send each other about requests that crash replicas.
 //!
-//! Instants travel as ages, since nodes have no clock in common.
+//! Times are sent as ages, since nodes have no common clock.
 
 use crate::digest::RequestDigest;
 use crate::evidence::{Evidence, ServerRun};
 use crate::table::Term;
 use serde::{Deserialize, Serialize};
 
-/// One piece of what is known of a request.
+/// A notice about one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuarantineNotice {
-    /// A run of a server ended under it.
+    /// A server crashed under the request.
     Ended {
         /// The request.
         digest: RequestDigest,
         /// The run.
         run: ServerRun,
-        /// What is known of the request there.
+        /// The state of the request on that server.
         evidence: Evidence,
-        /// How long ago.
+        /// The time since the crash.
         age_ms: u32,
     },
-    /// It is in quarantine.
+    /// The request is in quarantine.
     Quarantined {
         /// The request.
         digest: RequestDigest,
-        /// For how long it had been in quarantine when this was told.
+        /// The time since the quarantine began, when the notice was sent.
         age_ms: u32,
-        /// How long that lasts before its review.
+        /// The term of the quarantine, at the end of which comes a review.
         term: Term,
     },
-    /// It was served, or an operator lifted its quarantine: what was known before counts no more.
+    /// The request was served, or an operator lifted its quarantine. Nothing known from before counts.
     Cleared {
         /// The request.
         digest: RequestDigest,
-        /// How long ago.
+        /// The time since the success or the operator's action.
         age_ms: u32,
     },
 }
--- a/crates/quarantine/src/record/mod.rs
+++ b/crates/quarantine/src/record/mod.rs
@@ -1,116 +1,119 @@
-//! What is known of one request.
+//! The record of one request: its crashes, its quarantine and its last success.
 
 use crate::evidence::{Evidence, ServerRun};
 use crate::table::Term;
 use bluebell_base::prelude::*;
 
-/// For how long an end counts. Callers that repeat by hand do so within minutes.
-pub(crate) const COUNTS_MS: SpanMs = SpanMs(600_000);
+/// The time for which a crash counts. Callers that repeat a request by hand do so within minutes.
+pub(crate) const CRASH_EXPIRY_MS: SpanMs = SpanMs(600_000);
 
-/// How long a trial is waited for before another arrival gets its turn: the longest that a request
-/// runs, and more.
-const TRIAL_MS: SpanMs = SpanMs(60_000);
+/// The time after which an unfinished trial is given up and another arrival is tried: more than the longest
+/// time that a request runs.
+const TRIAL_TIMEOUT_MS: SpanMs = SpanMs(60_000);
 
-/// One end.
+/// A crash of a server that had the request.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct End {
+pub(crate) struct Crash {
     pub run: ServerRun,
     pub evidence: Evidence,
     pub at_ms: MonoMs,
-    /// Whether this node saw it itself.
+    /// True if this node observed the crash itself.
     pub own: bool,
 }
 
-/// A quarantine.
+/// The quarantine of one request.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Sentence {
+pub(crate) struct QuarantineState {
     pub since_ms: MonoMs,
     pub term: Term,
     pub trial_at_ms: Option<MonoMs>,
 }
 
-impl Sentence {
-    /// When its review is due.
+impl QuarantineState {
+    /// Returns the time at which its review is due.
     pub fn review_ms(&self) -> MonoMs {
         self.since_ms + self.term.span_ms()
     }
 
-    /// Whether a trial is under way.
-    pub fn is_tried(&self, now_ms: MonoMs) -> bool {
+    /// Returns true if a trial is under way.
+    pub fn is_trial_running(&self, now_ms: MonoMs) -> bool {
         let trial = self.trial_at_ms;
-        trial.is_some_and(|at_ms| now_ms.since(at_ms) < TRIAL_MS)
+        trial.is_some_and(|at_ms| now_ms.since(at_ms) < TRIAL_TIMEOUT_MS)
     }
 }
 
-/// What is known of one request.
+/// The record of one request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Record {
-    ends: Vec<End>,
-    pub sentence: Option<Sentence>,
-    /// Since when what was known before counts no more, and whether this node found that itself.
+    crashes: Vec<Crash>,
+    pub quarantine: Option<QuarantineState>,
+    /// The time of the last clearing, and whether this node cleared it itself. Nothing from before that
+    /// time counts.
     pub cleared: Option<(MonoMs, bool)>,
 }
 
 impl Record {
-    /// Whether something of then still counts.
+    /// Returns true if something that happened at `at_ms` still counts.
     pub fn counts(&self, at_ms: MonoMs) -> bool {
         self.cleared
             .is_none_or(|(cleared_ms, _)| at_ms > cleared_ms)
     }
 
-    /// Takes an end in; returns whether it was unknown.
-    pub fn add(&mut self, end: End) -> bool {
-        if !self.counts(end.at_ms) {
+    /// Adds a crash. Returns true if the crash was unknown, or its evidence is stronger than before.
+    pub fn add(&mut self, crash: Crash) -> bool {
+        if !self.counts(crash.at_ms) {
             return false;
         }
-        let known = self.ends.iter_mut().find(|known| known.run == end.run);
+        let known = self.crashes.iter_mut().find(|known| known.run == crash.run);
         let Some(known) = known else {
-            self.ends.push(end);
+            self.crashes.push(crash);
             return true;
         };
-        let more = end.evidence > known.evidence;
-        known.evidence = known.evidence.max(end.evidence);
+        let more = crash.evidence > known.evidence;
+        known.evidence = known.evidence.max(crash.evidence);
         more
     }
 
-    /// Forgets all that was known at `at_ms`; returns whether there was anything.
+    /// Clears all that happened up to `at_ms`. Returns true if there was anything to clear.
     pub fn clear(&mut self, at_ms: MonoMs, own: bool) -> bool {
         if !self.counts(at_ms) {
             return false;
         }
         self.cleared = Some((at_ms, own));
-        let ends = self.ends.len();
-        self.ends.retain(|end| end.at_ms > at_ms);
-        let sentence = self.sentence.take_if(|s| s.since_ms <= at_ms);
-        sentence.is_some() || self.ends.len() < ends
+        let crashes = self.crashes.len();
+        self.crashes.retain(|crash| crash.at_ms > at_ms);
+        let quarantine = self.quarantine.take_if(|s| s.since_ms <= at_ms);
+        quarantine.is_some() || self.crashes.len() < crashes
     }
 
-    /// Whether anything speaks against the request.
-    pub fn accuses(&self) -> bool {
-        !self.ends.is_empty() || self.sentence.is_some()
+    /// Returns true if the request is a suspect or in quarantine.
+    pub fn is_suspicious(&self) -> bool {
+        !self.crashes.is_empty() || self.quarantine.is_some()
     }
 
-    /// Drops ends that count no more.
+    /// Removes crashes that don't count any more.
     pub fn expire(&mut self, now_ms: MonoMs) {
-        self.ends.retain(|end| now_ms.since(end.at_ms) < COUNTS_MS);
-        let long_cleared = |(at_ms, _): &mut (MonoMs, bool)| now_ms.since(*at_ms) >= COUNTS_MS;
+        self.crashes
+            .retain(|crash| now_ms.since(crash.at_ms) < CRASH_EXPIRY_MS);
+        let long_cleared =
+            |(at_ms, _): &mut (MonoMs, bool)| now_ms.since(*at_ms) >= CRASH_EXPIRY_MS;
         self.cleared.take_if(long_cleared);
     }
 
-    /// The ends.
-    pub fn ends(&self) -> &[End] {
-        &self.ends
+    /// Returns the crashes.
+    pub fn crashes(&self) -> &[Crash] {
+        &self.crashes
     }
 
-    /// Whether nothing is known of it any more.
+    /// Returns true if nothing is known of the request any more.
     pub fn is_empty(&self) -> bool {
-        self.ends.is_empty() && self.sentence.is_none() && self.cleared.is_none()
+        self.crashes.is_empty() && self.quarantine.is_none() && self.cleared.is_none()
     }
 
-    /// When something was last learned of it.
+    /// Returns the time of the latest crash or clearing.
     pub fn newest_ms(&self) -> MonoMs {
-        let ends = self.ends.iter().map(|end| end.at_ms);
+        let crashes = self.crashes.iter().map(|crash| crash.at_ms);
         let cleared = self.cleared.map(|(at_ms, _)| at_ms);
-        ends.chain(cleared).max().unwrap_or_default()
+        crashes.chain(cleared).max().unwrap_or_default()
     }
 }
--- a/crates/quarantine/src/review/mod.rs
+++ b/crates/quarantine/src/review/mod.rs
@@ -1,13 +1,13 @@
-//! Which node reviews a request's quarantine.
+//! The choice of the node that reviews a request's quarantine.
 
 use crate::digest::RequestDigest;
 use rustc_hash::FxHasher;
 use std::hash::Hasher;
 
-/// Whether the node that calls itself `own` reviews a request, beside the `others` that it hears.
+/// Returns true if the node `own` reviews a request, given the `others`, its live peers.
 ///
-/// Nodes that hear the same others agree (rendezvous hashing), so that one arrival is tried and not
-/// one at each node; those that are cut off from each other try one each.
+/// Nodes with the same live peers agree (rendezvous hashing), so that one arrival is tried in all and not
+/// one at each node. Nodes that receive nothing from each other try one each.
 pub fn reviews(digest: &RequestDigest, own: u64, others: impl IntoIterator<Item = u64>) -> bool {
     let weight = |node: u64| {
         let mut hasher = FxHasher::default();
--- a/crates/quarantine/src/table/term.rs
+++ b/crates/quarantine/src/table/term.rs
@@ -1,49 +1,50 @@
-//! How long a quarantine lasts before its review.
+//! The term of a quarantine, at the end of which comes its review.
 
 use bluebell_base::prelude::*;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
 
-/// How often a request's quarantine was confirmed by a trial; each time its term is longer.
+/// The number of trials that confirmed a request's quarantine. Each one makes the term longer.
 ///
-/// The first term is long enough that a caller's program which repeats for minutes ends nothing more,
-/// and short enough that a request which was refused wrongly is served again within the same sitting
-/// of its caller.
+/// The first term is long enough that a caller's program that repeats a request for minutes crashes no
+/// further replica. It is short enough that a request that was refused wrongly is served again within
+/// the same session of its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct Term(u8);
 
 /// The first term.
-const FIRST_MS: SpanMs = SpanMs(600_000);
+const FIRST_TERM_MS: SpanMs = SpanMs(600_000);
 
-/// How much longer each term is than the one before: three trials on the first day, as many as a
-/// fatal request may be sent again in all, then one a day.
-const GROWTH: u64 = 6;
+/// The factor from each term to the next. It allows three trials on the first day, as many as a fatal
+/// request may be sent again in all, then one a day.
+const TERM_GROWTH_FACTOR: u64 = 6;
 
-/// The longest term: a repaired engine runs the request again a day later at most.
-const LONGEST_MS: SpanMs = SpanMs(86_400_000);
+/// The longest term. A repaired engine runs the request again a day later at the latest.
+const MAX_TERM_MS: SpanMs = SpanMs(86_400_000);
 
-/// The number from which terms grow no more.
-const LONGEST: u8 = 3;
+/// The number of confirmations from which terms don't grow any more.
+const MAX_CONFIRMATIONS: u8 = 3;
 
 impl Term {
     /// The term of a request that has had no trial.
     pub const FIRST: Self = Self(0);
 
-    /// How long after its review a request is forgotten for which nobody asks.
+    /// The time after its review at which a request that didn't arrive is forgotten.
     pub const FORGOTTEN_AFTER_MS: SpanMs = SpanMs(86_400_000);
 
-    /// The term after a trial that ended its server.
+    /// Returns the term after a trial that crashed its server.
     #[must_use]
     pub fn next(self) -> Self {
-        Self(self.0.saturating_add(1).min(LONGEST))
+        Self(self.0.saturating_add(1).min(MAX_CONFIRMATIONS))
     }
 
-    /// How long it lasts.
+    /// Returns the duration of the term.
     pub fn span_ms(self) -> SpanMs {
-        let span_ms = FIRST_MS.0 * GROWTH.pow(u32::from(self.0.min(LONGEST)));
-        SpanMs(span_ms).min(LONGEST_MS)
+        let span_ms =
+            FIRST_TERM_MS.0 * TERM_GROWTH_FACTOR.pow(u32::from(self.0.min(MAX_CONFIRMATIONS)));
+        SpanMs(span_ms).min(MAX_TERM_MS)
     }
 }
 
@@ -67,7 +68,7 @@
     }
 }
 
-/// A text that isn't a term.
+/// The error for a text that isn't a term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a term is written term0 to term3")]
 pub struct TermError;
@@ -78,7 +79,7 @@
     fn from_str(text: &str) -> Result<Self, TermError> {
         let number = text.strip_prefix("term").ok_or(TermError)?;
         let number: u8 = number.parse().map_err(|_| TermError)?;
-        match number <= LONGEST {
+        match number <= MAX_CONFIRMATIONS {
             true => Ok(Self(number)),
             false => Err(TermError),
         }
--- a/crates/quarantine/tests/digest.rs
+++ b/crates/quarantine/tests/digest.rs
@@ -1,4 +1,4 @@
-//! Which arrivals count as the same request.
+//! Tests of the digest, which decides if arrivals count as the same request.
 
 use bluebell_base::prelude::*;
 use bluebell_quarantine::prelude::*;
@@ -13,10 +13,10 @@
     }
 }
 
-/// A caller repeats a request at another node. Only what it asks for decides that it is the same;
-/// each part of that makes another request of it.
+/// Guards against a repeated request that isn't recognized at another node, and against different
+/// requests with one digest. Only the parts of a request decide.
 #[test]
-fn each_part_of_a_request_counts() {
+fn each_part_of_a_request_changes_its_digest() {
     let one = RequestDigest::of(&parts());
     assert_eq!(one, RequestDigest::of(&parts()));
     let same_host = RequestParts {
@@ -45,7 +45,7 @@
             body: b"a longer night",
             ..parts()
         },
-        // The same bytes in all, cut elsewhere.
+        // The same bytes in total, split at another place.
         RequestParts {
             account: "undertakerP",
             method: "OST",
@@ -88,8 +88,8 @@
     }
 }
 
-/// Each arrival would be hashed while any request is suspected. Its body's length tells most apart
-/// for nothing.
+/// Guards against hashing each arrival while any request is suspected. The length of its body excludes
+/// most of them without a hash.
 #[test]
 fn a_body_of_another_length_is_never_the_same_request() {
     let digest = RequestDigest::of(&parts());
--- a/crates/quarantine/tests/review.rs
+++ b/crates/quarantine/tests/review.rs
@@ -1,10 +1,10 @@
-//! Who tries a request again.
+//! Tests of the choice of the node that reviews a request.
 
 use bluebell_quarantine::prelude::*;
 use bluebell_quarantine::review::reviews;
 
-/// Each of nine nodes tried the request again at the end of its term, and nine replicas ended. All
-/// nodes agree on the one that tries it.
+/// Guards against nine nodes that each try a request again at the end of its term, which crashed nine
+/// replicas. All nodes agree on the one that tries it.
 #[test]
 fn one_node_reviews_a_request() {
     let nodes: Vec<u64> = (1..10).map(|n| n * 7_919).collect();
@@ -18,15 +18,18 @@
             body,
         });
         let others = |own: u64| nodes.iter().copied().filter(move |other| *other != own);
-        let mine = nodes
+        let chosen = nodes
             .iter()
             .filter(|own| reviews(&digest, **own, others(**own)));
-        let mine: Vec<&u64> = mine.collect();
-        assert_eq!(mine.len(), 1);
-        reviewers.push(*mine[0]);
-        assert!(reviews(&digest, 5, []), "alone it reviews all");
+        let chosen: Vec<&u64> = chosen.collect();
+        assert_eq!(chosen.len(), 1);
+        reviewers.push(*chosen[0]);
+        assert!(
+            reviews(&digest, 5, []),
+            "a node without peers reviews all requests"
+        );
     }
     reviewers.sort_unstable();
     reviewers.dedup();
-    assert!(reviewers.len() > 1, "reviews are spread");
+    assert!(reviewers.len() > 1, "reviews are spread over the nodes");
 }
--- a/crates/quarantine/tests/table.rs
+++ b/crates/quarantine/tests/table.rs
@@ -1,4 +1,4 @@
-//! When a request is run no more, and when it is again.
+//! Tests of when a request is refused, and when it is run again.
 
 use bluebell_base::prelude::*;
 use bluebell_quarantine::prelude::*;
@@ -22,21 +22,22 @@
     table.status(&digest(number), at(ms)) == QuarantineStatus::Free
 }
 
-/// Ends of request 1: at which ms, and under what evidence; returns whether it is free after them.
-fn free_after(ends: &[(u64, Evidence)]) -> bool {
+/// Records crashes under request 1, each at a time in ms and with its evidence. Returns true if the
+/// request is free after them.
+fn free_after(crashes: &[(u64, Evidence)]) -> bool {
     let mut table = Quarantine::default();
-    for (run, (ms, evidence)) in ends.iter().enumerate() {
+    for (run, (ms, evidence)) in crashes.iter().enumerate() {
         table.on_crash(digest(1), ServerRun(run as u32), *evidence, at(*ms));
     }
     table.judge(at(60_000));
     is_free(&table, 1, 60_000)
 }
 
-/// How many ends it takes: three under a request that had begun to run, five where it may only have
-/// waited, and never ends that all fall into one moment, as when a rack loses power under a call
-/// that comes all the time.
+/// Covers the number of crashes that lead to quarantine: three if the request had begun to run, five if it
+/// may only have been waiting. Crashes that are all at about one time never do, as when a rack loses power
+/// while it has a request that comes all the time.
 #[test]
-fn how_many_ends_it_takes() {
+fn the_number_of_crashes_that_lead_to_quarantine() {
     use Evidence::{Present, Running};
     let running = |times: &[u64]| times.iter().map(|ms| (*ms, Running)).collect::<Vec<_>>();
     let present = |times: &[u64]| times.iter().map(|ms| (*ms, Present)).collect::<Vec<_>>();
@@ -44,49 +45,49 @@
         ("two", running(&[0, 5_000]), true),
         ("three", running(&[0, 300, 900]), false),
         (
-            "three, one of them perhaps waiting",
+            "three, one of which may have been waiting",
             vec![(0, Running), (400, Present), (900, Running)],
             false,
         ),
-        ("three that may have waited", present(&[0, 400, 900]), true),
         (
-            "four that may have waited",
+            "three that may have been waiting",
+            present(&[0, 400, 900]),
+            true,
+        ),
+        (
+            "four that may have been waiting",
             present(&[0, 400, 900, 1_300]),
             true,
         ),
         (
-            "five that may have waited",
+            "five that may have been waiting",
             present(&[0, 400, 900, 1_300, 1_700]),
             false,
         ),
+        ("many at one time", running(&[0, 20, 40, 60, 90, 120]), true),
         (
-            "many in one moment",
-            running(&[0, 20, 40, 60, 90, 120]),
-            true,
-        ),
-        (
-            "many in one moment and one more",
+            "many at one time and a later one",
             running(&[0, 20, 40, 60, 900]),
             false,
         ),
     ];
-    for (name, ends, free) in cases {
-        assert_eq!(free_after(&ends), free, "{name}");
+    for (name, crashes, free) in cases {
+        assert_eq!(free_after(&crashes), free, "{name}");
     }
 }
 
-/// A power cut ends eight replicas, three times within a minute, and some drafts were on one of them
-/// each time: 36 of some 3,000 requests of a day of such waves were refused for good. Each was on one
-/// or two of all that ended in that moment, so something else ended them.
+/// Guards against blaming a request for a power failure. A failure took down eight replicas, three times
+/// within a minute, and some requests were on one of them each time: 36 of some 3,000 requests of a day
+/// with such waves were refused for good. Each was on one or two of the replicas that crashed together.
 #[test]
-fn what_ends_with_many_others_is_not_to_blame() {
+fn a_request_on_few_of_the_replicas_that_crash_together_is_not_blamed() {
     let mut table = Quarantine::default();
     for (wave, ms) in [(0, 0), (1, 5_000), (2, 10_000)] {
         for replica in 0..8 {
             let run = ServerRun(wave * 8 + replica);
-            let of_many = digest(100 + wave * 8 + replica);
+            let beside = digest(100 + wave * 8 + replica);
             table.on_crash(
-                of_many,
+                beside,
                 run,
                 Evidence::Running,
                 at(ms + u64::from(replica) * 6),
@@ -98,10 +99,10 @@
     assert_eq!(table.judge(at(20_000)), []);
 }
 
-/// The same request comes from several callers' programs at once, to several nodes: it ends four
-/// replicas in one moment, and four in another. It was on all of them.
+/// Guards against a request that stays free because several callers send it at once, to several nodes: it
+/// crashes four replicas at one time and two at another. It was on all of them.
 #[test]
-fn what_is_on_all_that_end_is_to_blame() {
+fn a_request_on_all_replicas_that_crash_together_is_blamed() {
     let mut table = Quarantine::default();
     for (run, ms) in [(0, 0), (1, 20), (2, 30), (3, 60), (4, 900), (5, 920)] {
         table.on_crash(digest(1), ServerRun(run), Evidence::Running, at(ms));
@@ -109,10 +110,10 @@
     assert_eq!(table.judge(at(2_000)).len(), 1);
 }
 
-/// A draft shared an engine with a fatal request three times and would be refused with it. What the
-/// fatal one ended, which was on more, isn't held against the draft.
+/// Guards against a request that is refused because it shared an engine with a fatal request three
+/// times. Crashes under the fatal request, which was on more servers, don't count against the other.
 #[test]
-fn what_another_explains_does_not_count() {
+fn crashes_explained_by_another_request_do_not_count() {
     let mut table = Quarantine::default();
     for (run, ms) in [(0, 0), (1, 500), (2, 1_000), (3, 1_500)] {
         table.on_crash(digest(1), ServerRun(run), Evidence::Running, at(ms));
@@ -126,9 +127,9 @@
     assert!(is_free(&table, 2, 2_000));
 }
 
-/// A replica that several nodes saw end under one request ended once.
+/// Guards against counting a replica's crash once for each node that saw it.
 #[test]
-fn one_run_ends_once() {
+fn one_run_crashes_once() {
     let mut table = Quarantine::default();
     for ms in [0, 500, 1_000, 1_500] {
         table.on_crash(digest(1), ServerRun(7), Evidence::Running, at(ms));
@@ -137,16 +138,17 @@
     assert!(is_free(&table, 1, 2_000));
 }
 
-/// A call that comes all the time was on two replicas that ended for another reason, and was served
-/// by a third. Each success shows that it ends nothing: only ends that no success interrupts count.
+/// Guards against a frequent request that is refused because it was on two replicas that crashed for
+/// another reason. A success clears its earlier crashes: only crashes without a success between them
+/// count.
 #[test]
-fn a_served_request_is_free_of_its_ends() {
+fn a_success_clears_earlier_crashes() {
     let mut table = Quarantine::default();
     for round in 0..10 {
         let ms = round * 10_000;
-        for end in 0..2 {
-            let run = ServerRun((round * 2 + end) as u32);
-            table.on_crash(digest(1), run, Evidence::Running, at(ms + end * 400));
+        for crash in 0..2 {
+            let run = ServerRun((round * 2 + crash) as u32);
+            table.on_crash(digest(1), run, Evidence::Running, at(ms + crash * 400));
         }
         table.judge(at(ms + 4_000));
         table.clear(digest(1), at(ms + 5_000));
@@ -155,13 +157,13 @@
     assert_eq!(
         table.clear(digest(2), at(0)),
         QuarantineChange::None,
-        "nothing is known of it"
+        "nothing is known of request 2"
     );
 }
 
-/// Gossip of ends that comes after that of a success was told before it.
+/// Guards against gossip of crashes that arrives after the gossip of a later success.
 #[test]
-fn ends_from_before_a_success_count_no_more() {
+fn crashes_from_before_a_success_do_not_count() {
     let mut table = Quarantine::default();
     let cleared = QuarantineNotice::Cleared {
         digest: digest(1),
@@ -169,22 +171,25 @@
     };
     table.on_notified(cleared, at(2_000));
     for run in 0..4 {
-        let told = QuarantineNotice::Ended {
+        let notice = QuarantineNotice::Ended {
             digest: digest(1),
             run: ServerRun(run),
             evidence: Evidence::Running,
             age_ms: 3_000 - run * 500,
         };
-        table.on_notified(told, at(3_000));
+        table.on_notified(notice, at(3_000));
     }
     table.judge(at(4_000));
     assert!(is_free(&table, 1, 3_000));
-    let told = QuarantineNotice::Quarantined {
+    let notice = QuarantineNotice::Quarantined {
         digest: digest(1),
         age_ms: 1_500,
         term: Term::FIRST,
     };
-    assert_eq!(table.on_notified(told, at(3_000)).1, QuarantineChange::None);
+    assert_eq!(
+        table.on_notified(notice, at(3_000)).1,
+        QuarantineChange::None
+    );
     assert!(is_free(&table, 1, 3_000));
 }
 
@@ -196,7 +201,7 @@
     assert_eq!(
         table.judge(at(800 + 149)),
         [],
-        "what else ended isn't known yet"
+        "other servers that crashed may not be known yet"
     );
     let first = QuarantineChange::Quarantined {
         term: Term::FIRST,
@@ -207,9 +212,8 @@
     table
 }
 
-/// A request that was refused wrongly must not be refused for ever, and one that was refused rightly
-/// must not end three more each time: at its review one arrival is run, by one node, and what comes
-/// meanwhile is still refused.
+/// Guards against a request that is refused for ever although it is harmless, and against one that crashes
+/// three replicas at each review. One arrival is run, by one node; other arrivals are still refused.
 #[test]
 fn at_its_review_one_arrival_is_tried() {
     let review = 800 + Term::FIRST.span_ms().0;
@@ -218,15 +222,15 @@
     assert!(table.begin_trial(&digest(1), at(review)));
     assert!(
         !table.begin_trial(&digest(1), at(review + 500)),
-        "one is under way"
+        "a trial is under way"
     );
     assert!(!is_free(&table, 1, review + 500));
-    let ended = table.on_crash(digest(1), ServerRun(9), Evidence::Running, at(review + 600));
+    let crashed = table.on_crash(digest(1), ServerRun(9), Evidence::Running, at(review + 600));
     let longer = QuarantineChange::Quarantined {
         term: Term::FIRST.next(),
         seen: true,
     };
-    assert_eq!(ended, longer);
+    assert_eq!(crashed, longer);
     let longer = Term::FIRST.next().span_ms().0;
     assert!(longer > Term::FIRST.span_ms().0);
     assert!(!table.begin_trial(&digest(1), at(review + 600 + longer - 1)));
@@ -236,7 +240,8 @@
     assert!(is_free(&table, 1, review + 700 + longer));
 }
 
-/// Its caller left before the trial showed anything: the next arrival is tried, a minute later.
+/// Guards against a trial without a result because its caller left: another arrival is tried a minute
+/// later.
 #[test]
 fn a_trial_without_an_outcome_is_repeated() {
     let review = 800 + Term::FIRST.span_ms().0;
@@ -245,9 +250,10 @@
     assert!(table.begin_trial(&digest(1), at(review + 60_000)));
 }
 
-/// Replicas that were busy with it when it was put into quarantine end as well. That changes nothing.
+/// Guards against crashes of replicas that had the request already when it was put into quarantine. They
+/// change nothing.
 #[test]
-fn ends_of_what_was_under_way_change_nothing() {
+fn crashes_before_the_review_change_nothing() {
     let mut table = in_quarantine();
     let more = table.on_crash(digest(1), ServerRun(8), Evidence::Running, at(900));
     assert_eq!(more, QuarantineChange::None);
@@ -258,36 +264,37 @@
     );
 }
 
-/// Fatal requests come by the thousand, each a little different. What is kept of them stays small,
-/// and what is in quarantine isn't pushed out by suspects.
+/// Guards against unbounded memory if thousands of slightly different fatal requests come. Suspects
+/// displace no request in quarantine.
 #[test]
-fn a_flood_is_bounded() {
+fn the_number_of_records_is_bounded() {
     let mut table = in_quarantine();
     for number in 2..20_000 {
         let ms = u64::from(number);
         table.on_crash(digest(number), ServerRun(number), Evidence::Running, at(ms));
     }
-    assert!(table.suspects() <= 512);
+    assert!(table.suspect_count() <= 512);
     assert!(!is_free(&table, 1, 20_000));
     for number in 2..2_000 {
-        let told = QuarantineNotice::Quarantined {
+        let notice = QuarantineNotice::Quarantined {
             digest: digest(number),
             age_ms: 0,
             term: Term::FIRST,
         };
-        table.on_notified(told, at(20_000 + u64::from(number)));
+        table.on_notified(notice, at(20_000 + u64::from(number)));
     }
     assert!(table.quarantined(at(30_000)).count() <= 512);
     assert!(!is_free(&table, 1_999, 30_000));
 }
 
-/// Nothing stays for ever: ends for minutes, a quarantine for a day after a review that nobody used.
+/// Guards against records that stay for ever. Crashes stay for minutes, and a quarantine for a day after a
+/// review without an arrival.
 #[test]
-fn what_nobody_asks_for_is_forgotten() {
+fn a_request_that_does_not_arrive_is_forgotten() {
     let mut table = in_quarantine();
     table.on_crash(digest(2), ServerRun(1), Evidence::Running, at(0));
     assert_eq!(table.expire(at(700_000)), []);
-    assert_eq!(table.suspects(), 0);
+    assert_eq!(table.suspect_count(), 0);
     let day_ms = 86_400_000;
     let review = 800 + Term::FIRST.span_ms().0;
     assert_eq!(table.expire(at(review + day_ms - 1)), []);
@@ -295,14 +302,15 @@
     assert!(!table.may_contain(&1_u32.to_be_bytes()));
 }
 
-/// What this node saw itself is told again for three seconds, so that a lost datagram costs nothing;
-/// what peers told isn't.
+/// Guards against lost datagrams. A node repeats what it observed itself for three seconds, and doesn't
+/// repeat what peers reported.
 #[test]
-fn what_was_seen_is_told_again_for_a_while() {
+fn a_node_repeats_its_own_observations_for_some_seconds() {
     let mut table = Quarantine::default();
     table.on_crash(digest(1), ServerRun(1), Evidence::Running, at(0));
-    let told = Quarantine::crash_notice(digest(2), ServerRun(1), Evidence::Running, (at(0), at(0)));
-    table.on_notified(told, at(0));
+    let notice =
+        Quarantine::crash_notice(digest(2), ServerRun(1), Evidence::Running, (at(0), at(0)));
+    table.on_notified(notice, at(0));
     assert_eq!(table.repeated_notices(at(2_999)).len(), 1);
     assert_eq!(table.repeated_notices(at(3_000)), []);
     table.clear(digest(1), at(3_500));
@@ -315,10 +323,10 @@
     );
 }
 
-/// A status call is served many times a second, and was once on a replica that ended. Its later
-/// successes have nothing to forget, and nothing of them is told.
+/// Guards against notices of each success of a frequent request that was once on a replica that crashed.
+/// Only the first success has something to clear.
 #[test]
-fn what_is_served_all_the_time_is_told_once() {
+fn a_frequent_request_is_cleared_once() {
     let mut table = Quarantine::default();
     table.on_crash(digest(1), ServerRun(1), Evidence::Running, at(0));
     let first = table.clear(digest(1), at(100));
@@ -331,16 +339,16 @@
     assert!(!table.may_contain(&1_u32.to_be_bytes()));
 }
 
-/// One piece of gossip about requests 1 to 3, told when it was `age_ms` old.
-fn any_told() -> impl Strategy<Value = QuarantineNotice> {
+/// Generates one notice about requests 1 to 3, at most some seconds old.
+fn any_notice() -> impl Strategy<Value = QuarantineNotice> {
     let number = 1_u32..4;
     let evidence = prop_oneof![Just(Evidence::Present), Just(Evidence::Running)];
-    let ended = (number.clone(), 0_u32..6, evidence, 0_u32..5_000);
-    let ended = ended.prop_map(|(number, run, evidence, age_ms)| QuarantineNotice::Ended {
+    let crashed = (number.clone(), 0_u32..6, evidence, 0_u32..5_000);
+    let crashed = crashed.prop_map(|(number, run, evidence, age_ms)| QuarantineNotice::Ended {
         digest: digest(number),
         run: ServerRun(run),
         evidence,
-        // Nodes see the end of one run at one moment.
+        // All nodes see the crash of one run at the same time.
         age_ms: age_ms / 1_000 * 1_000 + run * 100 + number,
     });
     let cleared = (number, 0_u32..5_000);
@@ -348,14 +356,14 @@
         digest: digest(number),
         age_ms,
     });
-    prop_oneof![6 => ended, 1 => cleared]
+    prop_oneof![6 => crashed, 1 => cleared]
 }
 
-/// The gossip, with one moment for each run.
-fn consistent(told: Vec<QuarantineNotice>) -> Vec<QuarantineNotice> {
+/// Returns the notices with one time for each crash.
+fn consistent(notices: Vec<QuarantineNotice>) -> Vec<QuarantineNotice> {
     let mut first: Vec<QuarantineNotice> = Vec::new();
-    for told in told {
-        let known = first.iter().find(|known| match (known, &told) {
+    for notice in notices {
+        let known = first.iter().find(|known| match (known, &notice) {
             (
                 QuarantineNotice::Ended {
                     digest: a, run: b, ..
@@ -367,51 +375,51 @@
             _ => false,
         });
         if known.is_none() {
-            first.push(told);
+            first.push(notice);
         }
     }
     first
 }
 
-/// A success that was told late lies between the ends for which a request is in quarantine: they
-/// weren't three in a row.
+/// Guards against a quarantine that stays after a late notice of a success between the crashes that led to
+/// it: they weren't three in a row.
 #[test]
-fn a_success_between_its_ends_frees_a_request() {
+fn a_late_success_between_crashes_lifts_the_quarantine() {
     let mut table = in_quarantine();
-    let told = QuarantineNotice::Cleared {
+    let notice = QuarantineNotice::Cleared {
         digest: digest(1),
         age_ms: 600,
     };
     let freed = QuarantineChange::Cleared { quarantined: true };
-    assert_eq!(table.on_notified(told, at(1_000)).1, freed);
+    assert_eq!(table.on_notified(notice, at(1_000)).1, freed);
     assert!(is_free(&table, 1, 1_000));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Lost, late and doubled datagrams: nodes that were told the same in other orders refuse the
-    /// same requests.
+    /// Guards against lost, late and repeated datagrams. Nodes that received the same notices in
+    /// different orders refuse the same requests.
     #[test]
-    fn the_order_of_news_does_not_matter(
-        told in prop::collection::vec(any_told(), 0..24),
+    fn the_order_of_notices_does_not_matter(
+        notices in prop::collection::vec(any_notice(), 0..24),
         seed in any::<u64>(),
     ) {
-        let told = consistent(told);
-        let mut other = told.clone();
+        let notices = consistent(notices);
+        let mut other = notices.clone();
         other.sort_by_key(|t| {
             let text = format!("{t:?}{seed}");
             RequestDigest::of(&RequestParts {
                 account: "", method: "", host: "", target: "", body: text.as_bytes(),
             }).number()
         });
-        other.extend(told.iter().copied());
+        other.extend(notices.iter().copied());
         let (mut one, mut two) = (Quarantine::default(), Quarantine::default());
-        for told in &told {
-            one.on_notified(*told, at(10_000));
+        for notice in &notices {
+            one.on_notified(*notice, at(10_000));
         }
-        for told in &other {
-            two.on_notified(*told, at(10_000));
+        for notice in &other {
+            two.on_notified(*notice, at(10_000));
         }
         one.judge(at(11_000));
         two.judge(at(11_000));
