--- a/crates/fleet/tests/limit.rs
+++ b/crates/fleet/tests/limit.rs
@@ -163,7 +163,7 @@
     assert!(fleet.sent_ms.len() >= sent + 4, "{:?}", fleet.sent_ms);
 }
 
-/// Guards against a limit that is missed while it changes from answer to answer, with unreadable ones in
+/// Guards against a limit that is exceeded while it changes from answer to answer, with unreadable ones in
 /// between. The last readable limit applies, and earlier requests don't count against it twice.
 #[test]
 fn a_limit_that_changes_is_kept_as_last_set() {
--- a/crates/fleet/tests/replicas.rs
+++ b/crates/fleet/tests/replicas.rs
@@ -111,7 +111,7 @@
 }
 
 /// Guards against a node that goes on sending to a replica that left. It had missed the change, and a
-/// peer with an equal fingerprint confirmed its table. Tables that differ in the replicas that accept
+/// peer reported that nothing had changed. Tables that differ in the replicas that accept
 /// work have different fingerprints. A replica that lapsed at one node and is gone at the other makes
 /// no difference.
 #[test]
