--- a/crates/fleet/src/replicas/table.rs
+++ b/crates/fleet/src/replicas/table.rs
@@ -70,7 +70,7 @@
     /// The time at which the directory was last readable again after it had been away.
     directory_back_ms: Option<MonoMs>,
     /// The time at which the directory was last found to have come back from an older copy.
-    restored_at_ms: Option<MonoMs>,
+    renewed_at_ms: Option<MonoMs>,
     directory_away: bool,
 }
 
@@ -92,13 +92,13 @@
     /// until they write their entries again, and some that left are listed.
     pub fn on_directory_renewed(&mut self, now_ms: MonoMs) {
         self.directory_back_ms = Some(now_ms);
-        self.restored_at_ms = Some(now_ms);
+        self.renewed_at_ms = Some(now_ms);
     }
 
     /// Returns true while entries that the older copy lacks may still return.
     pub fn awaits_rewrites(&self, now_ms: MonoMs) -> bool {
-        let restored = self.restored_at_ms;
-        restored.is_some_and(|at_ms| now_ms.since(at_ms) < RELIST_WINDOW_MS)
+        let renewed = self.renewed_at_ms;
+        renewed.is_some_and(|at_ms| now_ms.since(at_ms) < RELIST_WINDOW_MS)
     }
 
     /// Returns true if an entry of an older copy is out of date: its replica has left since then, or is
