--- a/crates/bench/examples/policy.rs
+++ b/crates/bench/examples/policy.rs
@@ -4,7 +4,7 @@
 //!
 //! Parts: `loads`, `nodes`, `lags`, `faults`, `accounts`, `cost`; none given means all. Names: `json`
 //! and `svg` (files to write), `repeats`, `secs` (of arrivals a run), `seed`, `policy`, `loads`
-//! (shares of capacity, with commas); and of the production policy `short_share`, `room_share`,
+//! (shares of capacity, with commas); and of the production policy `short_work_share`, `kv_headroom_share`,
 //! `choices`, `deferrable` and `slack` (in milliseconds).
 
 use bluebell_base::prelude::*;
@@ -43,8 +43,8 @@
         "seed" => options.seed = parse(value)?,
         "policy" => options.policies = vec![parse(value)?],
         "loads" => options.loads = value.split(',').map(parse).collect::<Result<_, _>>()?,
-        "short_share" => production.short_share = parse(value)?,
-        "room_share" => production.room_share = parse(value)?,
+        "short_share" => production.short_work_share = parse(value)?,
+        "room_share" => production.kv_headroom_share = parse(value)?,
         "choices" => production.choices = parse(value)?,
         "deferrable" => production.deferrable_ms = SpanMs(parse(value)?),
         "slack" => production.slack_ms = SpanMs(parse(value)?),
--- a/crates/bench/src/cost/mod.rs
+++ b/crates/bench/src/cost/mod.rs
@@ -52,7 +52,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut policy = bluebell_policy::open(settings.clone(), &config(), seed);
     for upstream in 0..REPLICAS {
-        policy.engine_seen(facts(upstream, models), MonoMs(0));
+        policy.engine_updated(facts(upstream, models), MonoMs(0));
     }
     // The bounds and three digits are always valid.
     let mut cost_ns: Histogram<u64> =
--- a/crates/bench/src/driver/nodes.rs
+++ b/crates/bench/src/driver/nodes.rs
@@ -42,7 +42,7 @@
             rank: EngineFacts::rank_of(&name),
         };
         let now_ms = node.clock_ms(0);
-        node.policy.engine_seen(facts, now_ms);
+        node.policy.engine_updated(facts, now_ms);
     }
     node
 }
--- a/crates/capacity/src/measure/memory.rs
+++ b/crates/capacity/src/measure/memory.rs
@@ -65,7 +65,7 @@
     let config = config(10)?;
     let policy = |upstreams: usize| {
         let mut policy = bluebell_policy::open(PolicySettings::default(), &config, 1);
-        (0..upstreams).for_each(|i| policy.engine_seen(facts(i), MonoMs(0)));
+        (0..upstreams).for_each(|i| policy.engine_updated(facts(i), MonoMs(0)));
         policy
     };
     let mut rows = Vec::new();
--- a/crates/policy/src/baseline/mod.rs
+++ b/crates/policy/src/baseline/mod.rs
@@ -107,7 +107,7 @@
 }
 
 impl Policy for Baseline {
-    fn engine_seen(&mut self, facts: EngineFacts, now_ms: MonoMs) {
+    fn engine_updated(&mut self, facts: EngineFacts, now_ms: MonoMs) {
         self.tables.fleet.seen(facts, now_ms);
     }
 
--- a/crates/policy/src/laxity/mod.rs
+++ b/crates/policy/src/laxity/mod.rs
@@ -113,7 +113,7 @@
 }
 
 impl Policy for Laxity {
-    fn engine_seen(&mut self, facts: EngineFacts, now_ms: MonoMs) {
+    fn engine_updated(&mut self, facts: EngineFacts, now_ms: MonoMs) {
         self.scratch.scored_for = None;
         self.tables.fleet.seen(facts, now_ms);
     }
--- a/crates/policy/src/laxity/score.rs
+++ b/crates/policy/src/laxity/score.rs
@@ -71,7 +71,7 @@
     pub fn lendable_tokens(&self, settings: &PolicySettings) -> u64 {
         let share = match self.kept {
             true => LENT_ROOM_SHARE,
-            false => settings.room_share,
+            false => settings.kv_headroom_share,
         };
         let room = (self.kv_capacity as f64 * share) as u64;
         let free = if self.takes_group { self.kv_free } else { 0 };
@@ -112,15 +112,15 @@
         let share = match (job.prompt_tokens.0 <= SHORT_TOKENS, kept) {
             (true, _) => 0.0,
             (false, true) => LENT_ROOM_SHARE,
-            (false, false) if self.deferrable(job) => self.settings.room_share,
-            (false, false) => self.settings.room_share / 2.0,
+            (false, false) if self.deferrable(job) => self.settings.kv_headroom_share,
+            (false, false) => self.settings.kv_headroom_share / 2.0,
         };
         (kv_capacity as f64 * share) as u64
     }
 
     /// How many engines at the end of a list are kept for short work.
     fn kept(&self, engines: usize) -> usize {
-        (engines as f64 * self.settings.short_share).round() as usize
+        (engines as f64 * self.settings.short_work_share).round() as usize
     }
 
     /// Whether the job may take memory of several engines.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -31,7 +31,7 @@
 /// A policy, from the first sight of a job to its end.
 pub trait Policy {
     /// An engine is known, or what is known of it changed.
-    fn engine_seen(&mut self, facts: EngineFacts, now_ms: MonoMs);
+    fn engine_updated(&mut self, facts: EngineFacts, now_ms: MonoMs);
 
     /// An engine takes no new work; what it runs goes on.
     fn engine_leaving(&mut self, upstream: UpstreamId, now_ms: MonoMs);
--- a/crates/policy/src/settings/mod.rs
+++ b/crates/policy/src/settings/mod.rs
@@ -80,9 +80,9 @@
     /// An engine whose prefill backlog is shorter than this has slack for deferrable work.
     pub slack_ms: SpanMs,
     /// The share of an engine's KV memory that deferrable work leaves free at least.
-    pub room_share: f64,
+    pub kv_headroom_share: f64,
     /// The share of the engines that is kept free of longer work while that can wait.
-    pub short_share: f64,
+    pub short_work_share: f64,
     /// How often a waiting queue is looked at.
     pub tick_ms: SpanMs,
     /// The most engines of a group, the leader included.
@@ -102,8 +102,8 @@
             choices: 2,
             deferrable_ms: SpanMs(700),
             slack_ms: SpanMs(250),
-            room_share: 0.05,
-            short_share: 0.12,
+            kv_headroom_share: 0.05,
+            short_work_share: 0.12,
             tick_ms: SpanMs(20),
             group_parts: 8,
             prior_prefill: PerSecond(30_000.0),
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -47,7 +47,7 @@
 pub fn open(kind: Kind, engines: u32, seed: u64) -> Box<dyn Policy> {
     let mut policy = bluebell_policy::open(PolicySettings::of(kind), &config(10), seed);
     for upstream in 0..engines {
-        policy.engine_seen(facts(upstream), MonoMs(0));
+        policy.engine_updated(facts(upstream), MonoMs(0));
     }
     policy
 }
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -62,7 +62,7 @@
         for engine in 0..ENGINES {
             let mut facts = common::facts(engine);
             facts.upstream = UpstreamId((engine + shift) % ENGINES);
-            policy.engine_seen(facts, MonoMs(0));
+            policy.engine_updated(facts, MonoMs(0));
         }
         let mut used = BTreeSet::new();
         for sequence in 1..=12 {
--- a/crates/policy/tests/random.rs
+++ b/crates/policy/tests/random.rs
@@ -114,7 +114,7 @@
                 self.policy.on_end(known(n), outcome, now_ms);
             }
             Step::Withdraw(n) => self.policy.withdraw(known(n), now_ms),
-            Step::Seen(engine) => self.policy.engine_seen(facts(*engine), now_ms),
+            Step::Seen(engine) => self.policy.engine_updated(facts(*engine), now_ms),
             Step::Leaving(engine) => self.policy.engine_leaving(UpstreamId(*engine), now_ms),
             Step::Gone(engine) => self.policy.engine_gone(UpstreamId(*engine), now_ms),
             Step::Pass(span_ms) => self.now_ms = now_ms + SpanMs(*span_ms),
--- a/crates/policy/tests/refusals.rs
+++ b/crates/policy/tests/refusals.rs
@@ -131,7 +131,7 @@
     policy.on_load(UpstreamId(0), &report, MonoMs(1_000));
     let refusal = policy.admit(job(1, 2_000, 1_000, 500), MonoMs(1_000));
     assert_eq!(refusal.map_err(|r| r.reason), Err(RefusalReason::NoEngine));
-    policy.engine_seen(facts(0), MonoMs(2_000));
+    policy.engine_updated(facts(0), MonoMs(2_000));
     policy
         .admit(job(2, 2_000, 2_000, 500), MonoMs(2_000))
         .expect("the engine is there");
--- a/crates/requests/src/actor/upstreams.rs
+++ b/crates/requests/src/actor/upstreams.rs
@@ -34,7 +34,7 @@
             kv_capacity_tokens: card.kv_capacity_tokens,
             rank: EngineFacts::rank_of(&card.name),
         };
-        self.policy.engine_seen(facts, now_ms);
+        self.policy.engine_updated(facts, now_ms);
         self.settle_down(cx);
     }
 
--- a/crates/requests/tests/recall_guards.rs
+++ b/crates/requests/tests/recall_guards.rs
@@ -39,7 +39,7 @@
 }
 
 impl Policy for Eager {
-    fn engine_seen(&mut self, facts: EngineFacts, _: MonoMs) {
+    fn engine_updated(&mut self, facts: EngineFacts, _: MonoMs) {
         self.engines.push(facts.upstream);
     }
     fn engine_leaving(&mut self, _: UpstreamId, _: MonoMs) {}
--- a/crates/requests/tests/waiting.rs
+++ b/crates/requests/tests/waiting.rs
@@ -40,7 +40,7 @@
 }
 
 impl Policy for Refusing {
-    fn engine_seen(&mut self, _: EngineFacts, _: MonoMs) {}
+    fn engine_updated(&mut self, _: EngineFacts, _: MonoMs) {}
     fn engine_leaving(&mut self, _: UpstreamId, _: MonoMs) {}
     fn engine_gone(&mut self, _: UpstreamId, _: MonoMs) {}
     fn on_load(&mut self, _: UpstreamId, _: &LoadReport, _: MonoMs) {}
