--- a/crates/entry/src/callers/exchange.rs
+++ b/crates/entry/src/callers/exchange.rs
@@ -15,7 +15,7 @@
 use bluebell_base::prelude::*;
 use bluebell_config::FleetConfig;
 use bluebell_peers::RequestReport;
-use bluebell_requests::call::{CallerCall, CallerId, CallerSink, ReadOn, ServiceRequest};
+use bluebell_requests::call::{CallerCall, CallerId, CallerSink, ResumeAnswer, ServiceRequest};
 use std::sync::atomic::Ordering;
 use tiny_http::Request;
 
@@ -44,8 +44,8 @@
         permits: Permits,
     },
     /// Reading on.
-    ReadOn {
-        call: ReadOn,
+    ResumeAnswer {
+        call: ResumeAnswer,
         form: Form,
         permit: Permit,
     },
@@ -112,7 +112,7 @@
             Wanted::Service { service, path } => {
                 self.take_service(service, path, account, config, request)
             }
-            Wanted::ReadOn(id) => self.take_read_on(id, account, request),
+            Wanted::ResumeAnswer(id) => self.take_read_on(id, account, request),
             Wanted::Report(id) => self.ask(id, |reply| CallerCall::Report {
                 account: account.clone(),
                 request: id,
@@ -205,13 +205,13 @@
             let message = format!("Last-Event-ID is over {CURSOR_BYTES} bytes");
             return Err(head::invalid(message).into());
         }
-        let call = ReadOn {
+        let call = ResumeAnswer {
             account: account.clone(),
             request: id,
             cursor: cursor.map(Arc::from),
         };
         let permit = self.call_permit()?;
-        Ok(Taken::ReadOn { call, form, permit })
+        Ok(Taken::ResumeAnswer { call, form, permit })
     }
 
     /// Asks the node for a report and waits for it.
@@ -237,7 +237,9 @@
                 permits,
             } => self.complete(outlet, decoded, form, permits),
             Taken::Service { call, permits } => self.call_service(outlet, call, permits),
-            Taken::ReadOn { call, form, permit } => self.read_on(outlet, call, form, permit),
+            Taken::ResumeAnswer { call, form, permit } => {
+                self.resume_answer(outlet, call, form, permit)
+            }
         };
         self.after(delivered);
     }
@@ -272,11 +274,17 @@
         }
     }
 
-    fn read_on(&self, outlet: Outlet, call: ReadOn, form: Form, _until_end: Permit) -> Delivered {
+    fn resume_answer(
+        &self,
+        outlet: Outlet,
+        call: ResumeAnswer,
+        form: Form,
+        _until_end: Permit,
+    ) -> Delivered {
         let (sink, delivery) = self.delivery(call.request.to_string().into());
         let subject = Subject::begun_now(form, None);
         let caller = self.caller;
-        match self.send(CallerCall::ReadOn { caller, call, sink }) {
+        match self.send(CallerCall::ResumeAnswer { caller, call, sink }) {
             Err(error) => {
                 let error = about_earlier(error);
                 delivery.refuse(outlet, None, error)
@@ -307,7 +315,7 @@
         }
         log::info!("{}: the caller hung up or does not read", self.name);
         let caller = self.caller;
-        if !self.shared.calls.send(CallerCall::Gone { caller }) {
+        if !self.shared.calls.send(CallerCall::Disconnected { caller }) {
             log::debug!("{}: the node is gone too", self.name);
         }
     }
--- a/crates/entry/src/callers/mod.rs
+++ b/crates/entry/src/callers/mod.rs
@@ -4,7 +4,7 @@
 //! in the fleet, given when it is admitted.
 //!
 //! Invariants: a call reaches the node only authenticated, decoded and within the limits; a caller
-//! that hangs up is reported with [`CallerCall::Gone`].
+//! that hangs up is reported with [`CallerCall::Disconnected`].
 
 mod decode;
 mod deliver;
--- a/crates/entry/src/callers/route.rs
+++ b/crates/entry/src/callers/route.rs
@@ -38,7 +38,7 @@
     /// Cancel a request.
     Cancel(RequestId),
     /// Read a request's events on.
-    ReadOn(RequestId),
+    ResumeAnswer(RequestId),
     /// A plain service, with path and query behind its prefix.
     Service {
         /// The service.
@@ -106,7 +106,7 @@
         (None, Method::Get) => Ok(Wanted::Report(request).into()),
         (None, Method::Delete) => Ok(Wanted::Cancel(request).into()),
         (None, _) => Err(not_allowed("GET and DELETE")),
-        (Some("events"), Method::Get) => Ok(Wanted::ReadOn(request).into()),
+        (Some("events"), Method::Get) => Ok(Wanted::ResumeAnswer(request).into()),
         (Some("events"), _) => Err(not_allowed("GET")),
         (Some(_), _) => Err(unknown_path()),
     }
--- a/crates/entry/tests/calls.rs
+++ b/crates/entry/tests/calls.rs
@@ -81,7 +81,7 @@
                 body: shown.into_bytes(),
             });
         }
-        CallerCall::ReadOn { call, sink, .. } => {
+        CallerCall::ResumeAnswer { call, sink, .. } => {
             let message = format!("{} reads on from {:?}", call.account, call.cursor);
             let error = Error::may_have_run(ErrorKind::NotFound, message);
             let request = Some(call.request);
@@ -97,7 +97,7 @@
             request,
             reply,
         } => reply(report(account, request)),
-        CallerCall::Gone { .. } => (),
+        CallerCall::Disconnected { .. } => (),
     }
 }
 
--- a/crates/entry/tests/streams.rs
+++ b/crates/entry/tests/streams.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use bluebell_base::prelude::*;
-use bluebell_requests::call::{CallerCall, CallerSink, ReadOn};
+use bluebell_requests::call::{CallerCall, CallerSink, ResumeAnswer};
 use expect_test::expect;
 use support::*;
 
@@ -15,7 +15,7 @@
 
 fn sink_of(call: CallerCall) -> Box<dyn CallerSink> {
     match call {
-        CallerCall::Complete { sink, .. } | CallerCall::ReadOn { sink, .. } => sink,
+        CallerCall::Complete { sink, .. } | CallerCall::ResumeAnswer { sink, .. } => sink,
         CallerCall::Service { sink, .. } => sink,
         _ => panic!("another call was expected"),
     }
@@ -59,7 +59,7 @@
     admit(&*sink);
     client.read_until(": keep-alive\n\n");
     drop(client);
-    let CallerCall::Gone { caller: gone } = node.next() else {
+    let CallerCall::Disconnected { caller: gone } = node.next() else {
         panic!("a hang-up was expected");
     };
     assert_eq!(gone, caller);
@@ -80,7 +80,7 @@
     };
     admit(&*sink);
     drop(client);
-    let CallerCall::Gone { caller: gone } = node.next() else {
+    let CallerCall::Disconnected { caller: gone } = node.next() else {
         panic!("a hang-up was expected");
     };
     assert_eq!(gone, caller);
@@ -98,7 +98,7 @@
     for seq in 0..PIECES {
         token(&*sink, seq, &piece);
     }
-    let CallerCall::Gone { .. } = node.next() else {
+    let CallerCall::Disconnected { .. } = node.next() else {
         panic!("a hang-up was expected");
     };
     assert!(!token(&*sink, PIECES, "late"));
@@ -157,10 +157,10 @@
     let path = "/v1/requests/req-0000000000000abc-7/events";
     let raw = keyed_request(KEYS[1], "GET", path, "Last-Event-ID: c4\r\n", "");
     let client = Client::send(node.address, &raw);
-    let CallerCall::ReadOn { call, sink, .. } = node.next() else {
+    let CallerCall::ResumeAnswer { call, sink, .. } = node.next() else {
         panic!("a call to read on was expected");
     };
-    let wanted = ReadOn {
+    let wanted = ResumeAnswer {
         account: AccountName::from("byrne"),
         request: request_id(),
         cursor: Some("c4".into()),
--- a/crates/node/tests/sockets/streams.rs
+++ b/crates/node/tests/sockets/streams.rs
@@ -30,7 +30,7 @@
         Self::of(call.send_json(&body).expect("an answer"))
     }
 
-    fn read_on(fleet: &Fleet, index: usize, request: &str, cursor: &str) -> Self {
+    fn resume_answer(fleet: &Fleet, index: usize, request: &str, cursor: &str) -> Self {
         let url = fleet.url(index, &format!("/v1/requests/{request}/events"));
         let call = fleet.agent.get(url);
         let call = call.header("authorization", format!("Bearer {KEY}"));
@@ -95,7 +95,7 @@
     }
     let request = first.request.clone();
     drop(first);
-    let mut second = Stream::read_on(&fleet, 1, &request, &cursor);
+    let mut second = Stream::resume_answer(&fleet, 1, &request, &cursor);
     seen.extend(second.rest());
     assert_eq!(seen, whole);
     assert_eq!(fleet.runs(), 2, "the second stream was not run again");
--- a/crates/requests/src/actor/arrivals.rs
+++ b/crates/requests/src/actor/arrivals.rs
@@ -32,7 +32,9 @@
                 sink,
             } => self.complete(cx, caller, completion, sink),
             CallerCall::Service { caller, call, sink } => self.service(cx, caller, call, sink),
-            CallerCall::ReadOn { caller, call, sink } => self.read_on(cx, caller, call, sink),
+            CallerCall::ResumeAnswer { caller, call, sink } => {
+                self.resume_answer(cx, caller, call, sink)
+            }
             CallerCall::Report {
                 account,
                 request,
@@ -43,7 +45,7 @@
                 request,
                 reply,
             } => self.cancel(cx, account, request, reply),
-            CallerCall::Gone { caller } => self.gone(cx, caller),
+            CallerCall::Disconnected { caller } => self.gone(cx, caller),
         }
     }
 
--- a/crates/requests/src/actor/foreign.rs
+++ b/crates/requests/src/actor/foreign.rs
@@ -170,7 +170,9 @@
         if let Some(id) = self.table.find(request) {
             // Adopted meanwhile by another wish.
             self.step(cx, id, request, |life, context| match wait.wish {
-                Wish::ReadOn { caller, sink, from } => life.attach(caller, sink, from, context),
+                Wish::ResumeAnswer { caller, sink, from } => {
+                    life.attach(caller, sink, from, context)
+                }
                 Wish::Cancel(reply) => life.cancel(reply, context),
                 Wish::Report(_) => (),
             });
@@ -181,7 +183,9 @@
         self.step(cx, id, request, |life, context| {
             life.resume(context);
             match wait.wish {
-                Wish::ReadOn { caller, sink, from } => life.attach(caller, sink, from, context),
+                Wish::ResumeAnswer { caller, sink, from } => {
+                    life.attach(caller, sink, from, context)
+                }
                 Wish::Cancel(reply) => life.cancel(reply, context),
                 Wish::Report(_) => (),
             }
@@ -197,7 +201,7 @@
     ) -> Life {
         let now_ms = self.timers.now_ms(cx);
         let base = match wish {
-            Wish::ReadOn { from, .. } => *from,
+            Wish::ResumeAnswer { from, .. } => *from,
             Wish::Report(_) | Wish::Cancel(_) => 0,
         };
         let payer = PayerId(self.payers.intern(&stream.account));
@@ -246,7 +250,7 @@
 /// Tells a waiting caller that it does not get what it wished for.
 fn deny(wait: Wait, error: Error) {
     match wait.wish {
-        Wish::ReadOn { sink, .. } => refuse(sink.as_ref(), wait.request, error),
+        Wish::ResumeAnswer { sink, .. } => refuse(sink.as_ref(), wait.request, error),
         Wish::Report(reply) | Wish::Cancel(reply) => reply(Err(error)),
     }
 }
--- a/crates/requests/src/actor/readers.rs
+++ b/crates/requests/src/actor/readers.rs
@@ -4,7 +4,7 @@
 //! about a request that exists somewhere is never `NotRun`.
 
 use super::Requests;
-use crate::call::{CallerEvent, CallerId, CallerSink, ReadOn};
+use crate::call::{CallerEvent, CallerId, CallerSink, ResumeAnswer};
 use crate::cursor::Cursor;
 use crate::finished::Finished;
 use crate::life::CancelReply;
@@ -21,11 +21,11 @@
 }
 
 impl Requests {
-    pub(super) fn read_on(
+    pub(super) fn resume_answer(
         &mut self,
         cx: CX![],
         caller: CallerId,
-        call: ReadOn,
+        call: ResumeAnswer,
         sink: Box<dyn CallerSink>,
     ) {
         let cursor = match &call.cursor {
@@ -43,7 +43,7 @@
         } else if call.request.incarnation == self.incarnation {
             refuse(sink.as_ref(), call.request, not_found());
         } else {
-            let wish = Wish::ReadOn { caller, sink, from };
+            let wish = Wish::ResumeAnswer { caller, sink, from };
             match cursor {
                 Some(cursor) => self.adopt_by_cursor(cx, &cursor, wish),
                 None => self.ask_peer(cx, call.account, call.request, wish),
@@ -53,7 +53,7 @@
     }
 
     /// The cursor, where it is one of the fleet's for this request and account.
-    fn believed(&self, text: &str, call: &ReadOn) -> Option<Cursor> {
+    fn believed(&self, text: &str, call: &ResumeAnswer) -> Option<Cursor> {
         let cursor = self.signer.verify(text)?;
         let fits = cursor.request == call.request && cursor.account == call.account;
         fits.then_some(cursor)
@@ -64,7 +64,7 @@
         cx: CX![],
         id: EntryId,
         caller: CallerId,
-        call: &ReadOn,
+        call: &ResumeAnswer,
         sink: Box<dyn CallerSink>,
         from: u64,
     ) {
@@ -80,7 +80,7 @@
     }
 
     /// Gives a caller an ended answer from event `from` on.
-    fn replay(&self, finished: &Finished, call: &ReadOn, sink: &dyn CallerSink, from: u64) {
+    fn replay(&self, finished: &Finished, call: &ResumeAnswer, sink: &dyn CallerSink, from: u64) {
         let request = call.request;
         let last = finished.last.event(request);
         let readable = finished.report.account == call.account && from >= finished.base;
--- a/crates/requests/src/call/mod.rs
+++ b/crates/requests/src/call/mod.rs
@@ -48,7 +48,7 @@
 
 /// A call to read a request's answer on from an event.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ReadOn {
+pub struct ResumeAnswer {
     /// Who asks.
     pub account: AccountName,
     /// The request.
@@ -119,7 +119,7 @@
 pub enum CallerCall {
     /// A model's answer is wanted.
     Complete {
-        /// The connection's number, for [`CallerCall::Gone`].
+        /// The connection's number, for [`CallerCall::Disconnected`].
         caller: CallerId,
         /// What is asked.
         completion: Completion,
@@ -136,11 +136,11 @@
         sink: Box<dyn CallerSink>,
     },
     /// A broken stream is read on.
-    ReadOn {
+    ResumeAnswer {
         /// The connection's number.
         caller: CallerId,
         /// What is asked.
-        call: ReadOn,
+        call: ResumeAnswer,
         /// Where its events go.
         sink: Box<dyn CallerSink>,
     },
@@ -163,7 +163,7 @@
         reply: Box<dyn FnOnce(Result<bluebell_peers::RequestReport, Error>) + Send>,
     },
     /// The connection broke: the caller hung up.
-    Gone {
+    Disconnected {
         /// The connection's number.
         caller: CallerId,
     },
--- a/crates/requests/src/waits/mod.rs
+++ b/crates/requests/src/waits/mod.rs
@@ -15,7 +15,7 @@
 /// What a caller waits for.
 pub enum Wish {
     /// To read an answer on.
-    ReadOn {
+    ResumeAnswer {
         /// The connection.
         caller: CallerId,
         /// Where its events go.
@@ -63,7 +63,7 @@
     /// A connection broke: nobody waits on it any more.
     pub fn forget(&mut self, gone: CallerId) {
         self.waits.retain(
-            |_, wait| !matches!(&wait.wish, Wish::ReadOn { caller, .. } if *caller == gone),
+            |_, wait| !matches!(&wait.wish, Wish::ResumeAnswer { caller, .. } if *caller == gone),
         );
     }
 
--- a/crates/requests/tests/chaos.rs
+++ b/crates/requests/tests/chaos.rs
@@ -190,7 +190,7 @@
             6 => self.announce(engine, false),
             7 => self.announce(engine, true),
             8 => self.hang_up(asked),
-            9 => self.read_on(asked),
+            9 => self.resume_answer(asked),
             10 => self.cancel(asked),
             11 => self.send(self.asked[asked].call.clone()),
             12 => self.strike_claims(),
@@ -226,12 +226,12 @@
     fn hang_up(&mut self, asked: usize) {
         let asked = &mut self.asked[asked];
         asked.hung_up = true;
-        self.world.nodes[asked.node].call(CallerCall::Gone {
+        self.world.nodes[asked.node].call(CallerCall::Disconnected {
             caller: asked.caller,
         });
     }
 
-    fn read_on(&mut self, asked: usize) {
+    fn resume_answer(&mut self, asked: usize) {
         let node = self.rng.random_range(0..self.world.nodes.len());
         let before = &self.asked[asked];
         let Some(request) = before.told.request() else {
@@ -241,7 +241,7 @@
         let texts = before.told.texts();
         let first = texts.last().map_or(0, |(seq, _)| seq + 1);
         let call = before.call.clone();
-        let told = self.world.read_on(node, "parish", request, cursor);
+        let told = self.world.resume_answer(node, "parish", request, cursor);
         self.asked.push(Asked {
             call,
             node,
--- a/crates/requests/tests/common/mod.rs
+++ b/crates/requests/tests/common/mod.rs
@@ -11,7 +11,7 @@
 use bluebell_base::prelude::*;
 use bluebell_config::FleetConfig;
 use bluebell_policy::{Kind, Policy, PolicySettings};
-use bluebell_requests::call::{CallerCall, CallerId, Completion, ReadOn};
+use bluebell_requests::call::{CallerCall, CallerId, Completion, ResumeAnswer};
 use bluebell_requests::{EngineCard, Requests, RequestsHandle, RequestsPorts, RequestsSettings};
 use bluebell_timers::Timers;
 use engine::Engine;
@@ -164,7 +164,7 @@
     }
 
     /// Reads on at a node.
-    pub fn read_on(
+    pub fn resume_answer(
         &mut self,
         node: usize,
         account: &str,
@@ -173,9 +173,9 @@
     ) -> Told {
         let (caller, told) = (self.caller(), self.told());
         let account = AccountName::from(account);
-        self.nodes[node].call(CallerCall::ReadOn {
+        self.nodes[node].call(CallerCall::ResumeAnswer {
             caller,
-            call: ReadOn {
+            call: ResumeAnswer {
                 account,
                 request,
                 cursor,
@@ -186,7 +186,7 @@
     }
 
     pub fn gone(&mut self, node: usize, caller: CallerId) {
-        self.nodes[node].call(CallerCall::Gone { caller });
+        self.nodes[node].call(CallerCall::Disconnected { caller });
     }
 
     /// A node's process dies; the nodes behind it move up.
--- a/crates/requests/tests/reading.rs
+++ b/crates/requests/tests/reading.rs
@@ -46,7 +46,7 @@
         let request = told.request().expect("admitted");
         world.gone(0, caller);
         world.run_for(500);
-        let rest = world.read_on(node, "parish", request, told.last_cursor());
+        let rest = world.resume_answer(node, "parish", request, told.last_cursor());
         world.run_for(6_000);
         rest.check(PROMPT, MAX, seen(&told));
         assert!(rest.is_finished(), "node {node}: {}", rest.brief());
@@ -65,7 +65,7 @@
         let (mut world, caller, told) = under_way(2, 1_000);
         let request = told.request().expect("admitted");
         let engine = world.engines[world.engine_of(request)].clone();
-        let rest = world.read_on(1, "parish", request, told.last_cursor());
+        let rest = world.resume_answer(1, "parish", request, told.last_cursor());
         world.run_for(20);
         engine.freeze_steps(prefill);
         world.run_for(2_500);
@@ -87,7 +87,7 @@
     let request = told.request().expect("admitted");
     world.kill_node(0);
     world.run_for(1_000);
-    let rest = world.read_on(0, "parish", request, told.last_cursor());
+    let rest = world.resume_answer(0, "parish", request, told.last_cursor());
     world.run_for(6_000);
     rest.check(PROMPT, MAX, seen(&told));
     assert!(rest.is_finished(), "{}", rest.brief());
@@ -109,7 +109,7 @@
         .kill(&mut world.stakker);
     world.run_for(1_500);
     world.gone(0, caller);
-    let rest = world.read_on(1, "parish", request, cursor);
+    let rest = world.resume_answer(1, "parish", request, cursor);
     world.run_for(12_000);
     rest.check(PROMPT, MAX, before);
     assert!(rest.is_finished(), "{}", rest.brief());
@@ -132,14 +132,14 @@
     let (mut world, caller, told) = under_way(2, 500);
     let request = told.request().expect("admitted");
     world.gone(0, caller);
-    let whole = world.read_on(1, "parish", request, None);
+    let whole = world.resume_answer(1, "parish", request, None);
     world.run_for(6_000);
     whole.check(PROMPT, MAX, 0);
     assert!(whole.is_finished(), "{}", whole.brief());
     let (mut world, _, told) = under_way(2, 500);
     let request = told.request().expect("admitted");
     world.peers.cut.set(true);
-    let refused = world.read_on(1, "parish", request, None);
+    let refused = world.resume_answer(1, "parish", request, None);
     world.run_for(2_100);
     let error = refused
         .error()
@@ -156,12 +156,12 @@
     let (mut world, _, told) = under_way(1, 6_000);
     let request = told.request().expect("admitted");
     assert!(told.is_finished());
-    let again = world.read_on(0, "parish", request, None);
+    let again = world.resume_answer(0, "parish", request, None);
     world.run_for(10);
     assert_eq!(again.texts(), told.texts());
     assert!(again.is_finished());
     world.run_for(200_000);
-    let late = world.read_on(0, "parish", request, None);
+    let late = world.resume_answer(0, "parish", request, None);
     world.run_for(10);
     assert!(late.error().is_some_and(|e| e.kind == ErrorKind::NotFound) || late.is_finished());
 }
@@ -180,10 +180,10 @@
     };
     for node in [0, 1] {
         let tries = [
-            world.read_on(node, "paper", request, None),
-            world.read_on(node, "paper", request, Some(cursor.clone())),
-            world.read_on(node, "parish", request, Some(forged.clone())),
-            world.read_on(node, "paper", nobodys, None),
+            world.resume_answer(node, "paper", request, None),
+            world.resume_answer(node, "paper", request, Some(cursor.clone())),
+            world.resume_answer(node, "parish", request, Some(forged.clone())),
+            world.resume_answer(node, "paper", nobodys, None),
         ];
         let cancel = ask(&world, node, "paper", request, true);
         let report = ask(&world, node, "paper", request, false);
