--- a/crates/bridge/src/inbox.rs
+++ b/crates/bridge/src/inbox.rs
@@ -20,11 +20,11 @@
 
 /// The sending half; cheap to clone and usable from any thread.
 #[derive(Clone, Debug)]
-pub struct Link {
+pub struct InboxSender {
     sender: Sender<Message>,
 }
 
-impl Link {
+impl InboxSender {
     /// Queues a message, waiting while the inbox is full; `false` once the node is gone.
     pub fn send(&self, message: impl FnOnce(&mut Stakker) + Send + 'static) -> bool {
         self.sender.send(Box::new(message)).is_ok()
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 pub struct Inbox {
     receiver: Receiver<Message>,
-    link: Link,
+    link: InboxSender,
 }
 
 impl Inbox {
@@ -44,12 +44,12 @@
         let (sender, receiver) = bounded(INBOX_MESSAGES);
         Self {
             receiver,
-            link: Link { sender },
+            link: InboxSender { sender },
         }
     }
 
     /// A sending half for I/O threads.
-    pub fn link(&self) -> Link {
+    pub fn link(&self) -> InboxSender {
         self.link.clone()
     }
 
--- a/crates/bridge/src/jobs.rs
+++ b/crates/bridge/src/jobs.rs
@@ -5,7 +5,7 @@
 //!
 //! Invariants: a key is used once; an event for a key no longer pending is dropped.
 
-use crate::inbox::{Inbox, Link};
+use crate::inbox::{Inbox, InboxSender};
 use crossbeam_channel::{Receiver, Sender, TrySendError, bounded};
 use stakker::{Fwd, Ret};
 use std::any::Any;
@@ -33,7 +33,7 @@
 /// Runs blocking jobs on threads and brings their results back; cheap to clone on its thread.
 #[derive(Clone)]
 pub struct Bridge {
-    link: Link,
+    link: InboxSender,
     pending: Answers,
     next_key: Rc<RefCell<u64>>,
     queue: Sender<Job>,
@@ -85,7 +85,7 @@
     }
 
     /// A link into the node's inbox.
-    pub fn link(&self) -> Link {
+    pub fn link(&self) -> InboxSender {
         self.link.clone()
     }
 
@@ -226,7 +226,7 @@
 pub struct EventSender<E> {
     id: u64,
     key: u64,
-    link: Link,
+    link: InboxSender,
     event: PhantomData<fn(E)>,
 }
 
--- a/crates/bridge/src/lib.rs
+++ b/crates/bridge/src/lib.rs
@@ -9,5 +9,5 @@
 mod inbox;
 mod jobs;
 
-pub use inbox::{Inbox, Link, Message};
+pub use inbox::{Inbox, InboxSender, Message};
 pub use jobs::{Bridge, Completer, EventSender};
--- a/crates/capacity/src/rig/node.rs
+++ b/crates/capacity/src/rig/node.rs
@@ -210,7 +210,7 @@
             MemberEvent::UpstreamLive(entry) => {
                 self.upstreams.set(self.upstreams.get() + 1);
                 if let Some(engine) = self.engine_of(&entry) {
-                    call!([control], engine_seen(entry, engine.port()));
+                    call!([control], engine_updated(entry, engine.port()));
                 }
             }
             MemberEvent::UpstreamLeaving(name) => call!([control], engine_leaving(name)),
@@ -240,7 +240,7 @@
         self.ledger.borrow_mut().add(Kind::PeerIn, 1, bytes);
         let ret = self.counted(incoming.ret);
         match incoming.call {
-            PeerCall::Probe { card, leaving } => call!([members], probed(card, leaving, ret)),
+            PeerCall::Probe { card, leaving } => call!([members], on_probe(card, leaving, ret)),
             PeerCall::Config { have } => call!([control], peer_config(have, ret)),
             // The other calls belong to requests, which a rig has none of.
             _ => (),
--- a/crates/claims/src/settings/mod.rs
+++ b/crates/claims/src/settings/mod.rs
@@ -61,7 +61,7 @@
     NoShards,
     /// A batch and the queues must hold something.
     #[error("batches and queues must hold at least one claim")]
-    NoRoom,
+    ZeroLimit,
     /// A key would be forgotten while it is valid.
     #[error("keys are valid for {validity_ms}, but the log keeps records only for {retention_ms}")]
     OutlivesRetention {
@@ -82,7 +82,7 @@
             return Err(SettingsError::NoShards);
         }
         if self.batch_ops == 0 || self.queued_ops == 0 || self.settlements == 0 {
-            return Err(SettingsError::NoRoom);
+            return Err(SettingsError::ZeroLimit);
         }
         if self.validity_ms.mul_f64(VALIDITY_MARGIN) > retention_ms {
             return Err(SettingsError::OutlivesRetention {
--- a/crates/claims/tests/settings.rs
+++ b/crates/claims/tests/settings.rs
@@ -29,7 +29,7 @@
         batch_ops: 0,
         ..ClaimSettings::default()
     };
-    assert_eq!(no_room.check(day_ms), Err(SettingsError::NoRoom));
+    assert_eq!(no_room.check(day_ms), Err(SettingsError::ZeroLimit));
 }
 
 #[test]
--- a/crates/control/src/actor/mod.rs
+++ b/crates/control/src/actor/mod.rs
@@ -142,8 +142,8 @@
     }
 
     /// An engine is there, or what the list says of it changed.
-    pub fn engine_seen(&mut self, _cx: CX![], entry: VmEntry, port: Rc<dyn EnginePort>) {
-        call!([self.coordinator], engine_seen(entry, port));
+    pub fn engine_updated(&mut self, _cx: CX![], entry: VmEntry, port: Rc<dyn EnginePort>) {
+        call!([self.coordinator], engine_updated(entry, port));
     }
 
     /// An engine leaves.
--- a/crates/control/src/coordinator/mod.rs
+++ b/crates/control/src/coordinator/mod.rs
@@ -139,7 +139,7 @@
     }
 
     /// An engine is there, or what the list says of it changed.
-    pub fn engine_seen(&mut self, _cx: CX![], entry: VmEntry, port: Rc<dyn EnginePort>) {
+    pub fn engine_updated(&mut self, _cx: CX![], entry: VmEntry, port: Rc<dyn EnginePort>) {
         self.engines.put(entry, port);
     }
 
--- a/crates/control/tests/support/spawn.rs
+++ b/crates/control/tests/support/spawn.rs
@@ -195,7 +195,7 @@
             MemberEvent::UpstreamLive(entry) => {
                 let name = UpstreamName(entry.name.0.clone());
                 if let Some(port) = self.port(&name) {
-                    call!([control], engine_seen(entry, port));
+                    call!([control], engine_updated(entry, port));
                 }
             }
             MemberEvent::UpstreamLeaving(name) => call!([control], engine_leaving(name)),
@@ -215,7 +215,7 @@
         let (control, members) = (self.control(), self.members());
         let ret = some(ret);
         match call {
-            PeerCall::Probe { card, leaving } => call!([members], probed(card, leaving, ret)),
+            PeerCall::Probe { card, leaving } => call!([members], on_probe(card, leaving, ret)),
             PeerCall::Config { have } => call!([control], peer_config(have, ret)),
             other => panic!("no such call in these tests: {other:?}"),
         }
--- a/crates/entry/src/http/listener.rs
+++ b/crates/entry/src/http/listener.rs
@@ -154,7 +154,7 @@
     }
 
     fn hand_over(&self, request: Request) {
-        self.pool_guard.request_seen();
+        self.pool_guard.on_request();
         let handler = Arc::clone(&self.handler);
         self.workers.run(Box::new(move || handler(request)));
     }
--- a/crates/entry/tests/support/mod.rs
+++ b/crates/entry/tests/support/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)]
 
 use bluebell_base::prelude::*;
-use bluebell_bridge::{Bridge, Inbox, Link};
+use bluebell_bridge::{Bridge, Inbox, InboxSender};
 use bluebell_config::FleetConfig;
 use bluebell_entry::{Admin, AdminCall, AdminSettings, Callers, CallersSettings};
 use bluebell_requests::call::{CallerCall, CallerEvent, CallerSink};
@@ -55,7 +55,7 @@
     pub calls: Receiver<C>,
     pub callers: Option<Callers>,
     pub admin: Option<Admin>,
-    link: Link,
+    link: InboxSender,
     thread: Option<JoinHandle<()>>,
 }
 
@@ -123,7 +123,7 @@
     }
 }
 
-type Opened<T, C> = (Link, JoinHandle<()>, T, Receiver<C>);
+type Opened<T, C> = (InboxSender, JoinHandle<()>, T, Receiver<C>);
 
 fn actor_thread<T: Send + 'static, C: Send + 'static>(
     open: impl FnOnce(&Bridge, Fwd<C>) -> T + Send + 'static,
--- a/crates/members/src/actor/listing_side.rs
+++ b/crates/members/src/actor/listing_side.rs
@@ -160,7 +160,7 @@
         }
         let interval_ms = match () {
             () if !self.list_side.complete => FIRST_MS,
-            () if self.writes_directory(now_ms) => self.settings.duty_poll_ms,
+            () if self.writes_directory(now_ms) => self.settings.writer_poll_ms,
             () => self.settings.own_poll_ms,
         };
         // The list comes whole each time; at thousands of VMs a fetch each second would cost the
--- a/crates/members/src/actor/mod.rs
+++ b/crates/members/src/actor/mod.rs
@@ -111,7 +111,7 @@
     }
 
     /// A peer probes this node.
-    pub fn probed(
+    pub fn on_probe(
         &mut self,
         cx: CX![],
         card: NodeCard,
--- a/crates/members/src/settings/mod.rs
+++ b/crates/members/src/settings/mod.rs
@@ -24,7 +24,7 @@
     /// Peer addresses known from settings, for a start while the list is down.
     pub seeds: Vec<Address>,
     /// How often the holder of the duty fetches the list, where it is short.
-    pub duty_poll_ms: SpanMs,
+    pub writer_poll_ms: SpanMs,
     /// The rate at which one node may fetch lists; a long list is fetched less often.
     pub list_bytes: PerSecond,
     /// How often a node fetches the list itself while the directory stream is stale; varied by
@@ -55,7 +55,7 @@
         Self {
             directory_stream: "directory".into(),
             seeds: Vec::new(),
-            duty_poll_ms: SpanMs(1_000),
+            writer_poll_ms: SpanMs(1_000),
             list_bytes: PerSecond(3_000.0),
             own_poll_ms: SpanMs::from_secs(20),
             directory_tail_ms: SpanMs(1_000),
--- a/crates/node/src/hub/fleet.rs
+++ b/crates/node/src/hub/fleet.rs
@@ -11,7 +11,7 @@
 use bluebell_base::prelude::*;
 use bluebell_members::MemberEvent;
 use bluebell_platform::{VmEntry, VmRole};
-use bluebell_requests::EngineCard;
+use bluebell_requests::EngineDescription;
 use bluebell_upstreams::{CacheEvents, EnginePort, LoadReport, OrderAnswer};
 use bluebell_upstreams::{HttpEngine, HttpService};
 use serde::Serialize;
@@ -61,8 +61,8 @@
         !self.models.is_empty() && self.kv_capacity_tokens > Tokens::ZERO
     }
 
-    fn card(&self) -> EngineCard {
-        EngineCard {
+    fn card(&self) -> EngineDescription {
+        EngineDescription {
             name: self.name.clone(),
             domain: self.entry.domain.clone(),
             models: self.models.clone(),
@@ -134,7 +134,7 @@
             engine.leaving = false;
             engine.announced = false;
             let port = Rc::clone(&engine.port);
-            call!([self.parts.control], engine_seen(entry, port));
+            call!([self.parts.control], engine_updated(entry, port));
             self.announce(&name);
             return;
         }
@@ -147,7 +147,7 @@
             None,
         );
         let (seen, seen_at) = (entry.clone(), Rc::clone(&port));
-        call!([self.parts.control], engine_seen(seen, seen_at));
+        call!([self.parts.control], engine_updated(seen, seen_at));
         self.engines.engines.push(Engine {
             entry,
             name: name.clone(),
--- a/crates/node/src/hub/inbound.rs
+++ b/crates/node/src/hub/inbound.rs
@@ -13,7 +13,7 @@
         let Incoming { call, ret } = incoming;
         match call {
             PeerCall::Probe { card, leaving } => {
-                call!([self.parts.members], probed(card, leaving, plain(ret)));
+                call!([self.parts.members], on_probe(card, leaving, plain(ret)));
             }
             PeerCall::Claim(call) => {
                 self.parts.claims.incoming_claim(cx, call, ret);
--- a/crates/node/src/launch/mod.rs
+++ b/crates/node/src/launch/mod.rs
@@ -6,7 +6,7 @@
 mod wiring;
 
 use bluebell_base::prelude::*;
-use bluebell_bridge::Link;
+use bluebell_bridge::InboxSender;
 use bluebell_settings::NodeSettings;
 use crossbeam_channel::{Sender, bounded};
 use serde::{Deserialize, Serialize};
@@ -63,7 +63,7 @@
 /// Tells a running node to stop; usable from any thread, such as a signal handler's.
 #[derive(Clone, Debug)]
 pub struct NodeStop {
-    link: Link,
+    link: InboxSender,
 }
 
 impl NodeStop {
--- a/crates/node/src/launch/wiring.rs
+++ b/crates/node/src/launch/wiring.rs
@@ -5,7 +5,7 @@
 use crate::ports::lookup::{LiveNodes, PeerLookup};
 use crate::ports::observer::NodeObserver;
 use bluebell_base::prelude::*;
-use bluebell_bridge::{Bridge, Inbox, Link};
+use bluebell_bridge::{Bridge, Inbox, InboxSender};
 use bluebell_claims::{ClaimSettings, Claims, ClaimsHandle, ClaimsParts};
 use bluebell_config::FleetConfig;
 use bluebell_control::{Control, ControlPorts, ControlSettings, NodeIdentity};
@@ -119,7 +119,7 @@
         &self.addresses
     }
 
-    pub(super) fn link(&self) -> Link {
+    pub(super) fn link(&self) -> InboxSender {
         self.inbox.link()
     }
 
@@ -310,7 +310,7 @@
         let seeds = self.settings.peer_seeds.as_ref();
         let settings = MembersSettings {
             seeds: seeds.map_or_else(Vec::new, |seeds| seeds.as_slice().to_vec()),
-            duty_poll_ms: self.settings.vm_list_poll_ms,
+            writer_poll_ms: self.settings.vm_list_poll_ms,
             retention_ms: self.settings.log_retention_ms,
             ..MembersSettings::default()
         };
--- a/crates/pool-guard/src/lib.rs
+++ b/crates/pool-guard/src/lib.rs
@@ -49,7 +49,7 @@
     }
 
     /// Tells the guard that the server handed a request out; never blocks.
-    pub fn request_seen(&self) {
+    pub fn on_request(&self) {
         if let Some(seen) = &self.seen {
             // One that is already told of a request needs no second word.
             let _ = seen.try_send(());
--- a/crates/pool-guard/tests/burst.rs
+++ b/crates/pool-guard/tests/burst.rs
@@ -35,7 +35,7 @@
     let taken = Arc::clone(&server);
     let taker = thread::spawn(move || {
         while let Ok(request) = taken.recv() {
-            guard.request_seen();
+            guard.on_request();
             request
                 .respond(Response::from_string("ok"))
                 .expect("it can be answered");
--- a/crates/requests/examples/cost.rs
+++ b/crates/requests/examples/cost.rs
@@ -10,7 +10,7 @@
 use bluebell_policy::{Kind, PolicySettings};
 use bluebell_requests::call::{CallerCall, CallerEvent, CallerId, CallerSink, Completion};
 use bluebell_requests::{
-    EngineCard, NoObserver, RequestLookup, Requests, RequestsPorts, RequestsSettings,
+    EngineDescription, NoObserver, RequestLookup, Requests, RequestsPorts, RequestsSettings,
 };
 use bluebell_timers::Timers;
 use bluebell_upstreams::engine::CacheEvents;
@@ -132,7 +132,7 @@
     let requests = Requests::spawn(&mut stakker, RequestsSettings::default(), ports);
     requests.set_config(ConfigVersion(1), config);
     let engine = Rc::new(Engine::default());
-    let card = EngineCard {
+    let card = EngineDescription {
         name: "engine".into(),
         domain: "domain".into(),
         models: vec!["m".into()],
--- a/crates/requests/src/actor/handle.rs
+++ b/crates/requests/src/actor/handle.rs
@@ -1,6 +1,6 @@
 //! The handle by which the rest of the node speaks to the requests.
 
-use super::{EngineCard, Requests};
+use super::{EngineDescription, Requests};
 use crate::call::CallerCall;
 use crate::fleet::Standing;
 use bluebell_base::prelude::*;
@@ -32,7 +32,7 @@
     }
 
     /// An engine takes work, for the first time or again.
-    pub fn engine_live(&self, card: EngineCard, port: Rc<dyn EnginePort>) {
+    pub fn engine_live(&self, card: EngineDescription, port: Rc<dyn EnginePort>) {
         call!([self.own], engine_live(card, port));
     }
 
--- a/crates/requests/src/actor/mod.rs
+++ b/crates/requests/src/actor/mod.rs
@@ -14,7 +14,7 @@
 mod upstreams;
 
 pub use handle::RequestsHandle;
-pub use upstreams::EngineCard;
+pub use upstreams::EngineDescription;
 
 use crate::budget::Budgets;
 use crate::call::CallerId;
--- a/crates/requests/src/actor/upstreams.rs
+++ b/crates/requests/src/actor/upstreams.rs
@@ -10,7 +10,7 @@
 
 /// What is known of an engine when it is announced.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EngineCard {
+pub struct EngineDescription {
     /// Its name.
     pub name: UpstreamName,
     /// Its failure domain.
@@ -22,7 +22,12 @@
 }
 
 impl Requests {
-    pub(super) fn engine_live(&mut self, cx: CX![], card: EngineCard, port: Rc<dyn EnginePort>) {
+    pub(super) fn engine_live(
+        &mut self,
+        cx: CX![],
+        card: EngineDescription,
+        port: Rc<dyn EnginePort>,
+    ) {
         let now_ms = self.timers.now_ms(cx);
         let upstream = self.fleet.engine_live(&card.name, port);
         let models = card.models.iter();
--- a/crates/requests/src/lib.rs
+++ b/crates/requests/src/lib.rs
@@ -25,7 +25,7 @@
 pub mod verify;
 pub mod waits;
 
-pub use actor::{EngineCard, Requests, RequestsHandle, RequestsPorts};
+pub use actor::{EngineDescription, Requests, RequestsHandle, RequestsPorts};
 pub use lookup::RequestLookup;
 pub use observe::{LengthBand, NoObserver, RefusedBy, RequestObserver};
 pub use settings::RequestsSettings;
--- a/crates/requests/tests/common/mod.rs
+++ b/crates/requests/tests/common/mod.rs
@@ -12,7 +12,9 @@
 use bluebell_config::FleetConfig;
 use bluebell_policy::{Kind, Policy, PolicySettings};
 use bluebell_requests::call::{CallerCall, CallerId, Completion, ResumeAnswer};
-use bluebell_requests::{EngineCard, Requests, RequestsHandle, RequestsPorts, RequestsSettings};
+use bluebell_requests::{
+    EngineDescription, Requests, RequestsHandle, RequestsPorts, RequestsSettings,
+};
 use bluebell_timers::Timers;
 use engine::Engine;
 use ports::{Claims, Counter, Counts, Peers};
@@ -229,8 +231,8 @@
     }
 }
 
-pub fn card(index: usize) -> EngineCard {
-    EngineCard {
+pub fn card(index: usize) -> EngineDescription {
+    EngineDescription {
         name: format!("engine-{index}").as_str().into(),
         domain: "galway-a".into(),
         models: vec!["m".into()],
--- a/crates/stand-ins/src/platform/server/mod.rs
+++ b/crates/stand-ins/src/platform/server/mod.rs
@@ -152,7 +152,7 @@
     fn run(self: Arc<Self>) {
         // An error of `recv` is the wake-up of `stop`.
         while let Ok(mut request) = self.http.recv() {
-            self.pool_guard.request_seen();
+            self.pool_guard.on_request();
             match self.parse(&mut request) {
                 Ok(call) => self.take(request, call),
                 Err(error) => respond(request, &Answer::error(&error)),
--- a/crates/stand-ins/src/serve/mod.rs
+++ b/crates/stand-ins/src/serve/mod.rs
@@ -76,7 +76,7 @@
     handle: &Arc<impl Fn(Request) + Send + Sync + 'static>,
 ) {
     while let Ok(request) = server.recv() {
-        guard.request_seen();
+        guard.on_request();
         let handle = Arc::clone(handle);
         let spawned = thread::Builder::new()
             .name("request".into())
