--- a/crates/control/src/records/codec.rs
+++ b/crates/control/src/records/codec.rs
@@ -1,13 +1,13 @@
-//! Text to record and back.
+//! Encoding and decoding of log records.
 
 use super::{ConfigRecord, LeaseRecord};
 use bluebell_base::prelude::*;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// A kind of record that stands in one of the control streams.
+/// A type of record that one of the control streams carries.
 pub trait Record: Serialize + DeserializeOwned {
-    /// The values of the `record` field that this version knows.
+    /// The values of the `record` field that this version supports.
     const KINDS: &'static [&'static str];
 }
 
@@ -19,16 +19,16 @@
     const KINDS: &'static [&'static str] = &["take", "renew", "release", "checkpoint", "reset"];
 }
 
-/// Why a log record's text is not a record that this version can use.
+/// The reason why the text of a log record can't be used by this version.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// Its text is over the record limit; it is not even parsed.
+    /// The text is larger than the record limit. It is not parsed.
     #[error("{0} are over the record limit")]
     TooLarge(Bytes),
-    /// A kind this version does not know; a newer version's.
+    /// The kind is unknown to this version; a newer version wrote the record.
     #[error("the kind {0:?} is unknown")]
     UnknownKind(Arc<str>),
-    /// No record at all, or one with a field missing or of the wrong shape.
+    /// The text is not a record, or a field is missing or has the wrong type.
     #[error("malformed: {0}")]
     Malformed(Arc<str>),
 }
@@ -40,14 +40,14 @@
 
 /// Encodes a record.
 pub fn encode<R: Record>(record: &R) -> Arc<str> {
-    // The records hold only strings, integers and lists, which serde_json can't fail on.
+    // The records hold only strings, integers and lists, so serialization can't fail.
     serde_json::to_string(record).unwrap_or_default().into()
 }
 
 /// Decodes a record of at most `limit_bytes`.
 ///
 /// # Errors
-/// The reason for which the record is skipped; each is counted by the reader.
+/// Returns the reason for skipping the record. The reader counts skipped records by reason.
 pub fn decode<R: Record>(text: &str, limit_bytes: Bytes) -> Result<R, DecodeError> {
     let size_bytes = Bytes(text.len() as u64);
     if size_bytes > limit_bytes {
--- a/crates/control/src/records/config.rs
+++ b/crates/control/src/records/config.rs
@@ -8,40 +8,42 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "record", rename_all = "snake_case")]
 pub enum ConfigRecord {
-    /// An operator's publication, or a part of it.
+    /// An operator's publication, or one part of it.
     Update(Update),
-    /// The state up to an offset, or a part of it.
+    /// The state of the configuration up to an offset, or one part of it.
     Snapshot(Snapshot),
 }
 
-/// A publication of the version behind `base`.
+/// A publication of the version that follows `base`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// The publication, so that its publisher finds it again.
+    /// The id of the publication, by which its publisher recognizes it in the log.
     pub op: OperationId,
-    /// The version it was written against; it counts only while that one is current.
+    /// The version that the update was written against. The update counts only if this is the
+    /// current version.
     pub base: ConfigVersion,
-    /// What of the base's text is kept around this one; nothing in records without the field.
+    /// The parts of the base's text that are kept before and after this one. Records without this
+    /// field keep nothing.
     #[serde(default)]
     pub splice: Splice,
-    /// Its place among the parts.
+    /// The position of this record among the parts.
     pub part: Part,
-    /// This part of the text between what is kept.
+    /// This part of the text that replaces the middle of the base's text.
     pub body: Arc<str>,
 }
 
-/// What the reduction of all records before `as_of` gives.
+/// The state that results from reducing all records before `as_of`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The writing of this snapshot.
+    /// The id of the operation that wrote this snapshot.
     pub op: OperationId,
-    /// The version in force.
+    /// The version in force as of `as_of`.
     pub version: ConfigVersion,
-    /// The publication that made this version.
+    /// The publication that created this version.
     pub made_by: OperationId,
-    /// The first offset whose record is not in it.
+    /// The first offset whose record the snapshot does not include.
     pub as_of: Offset,
-    /// Its place among the parts.
+    /// The position of this record among the parts.
     pub part: Part,
     /// This part of the version's text.
     pub body: Arc<str>,
--- a/crates/control/src/records/leases.rs
+++ b/crates/control/src/records/leases.rs
@@ -8,55 +8,55 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "record", rename_all = "snake_case")]
 pub enum LeaseRecord {
-    /// A node wants a duty.
+    /// A node requests a duty.
     Take(Take),
-    /// A node keeps its duties.
+    /// A node renews the leases of its duties.
     Renew(Renew),
-    /// A node gives duties back.
+    /// A node releases duties.
     Release(Release),
-    /// The state up to an offset.
+    /// The state of all leases up to an offset.
     Checkpoint(Checkpoint),
-    /// All leases are void; written where no reader can know them any more.
+    /// All leases become void. Written if no reader can know the leases any more.
     Reset(Reset),
 }
 
-/// Takes a duty, if nothing happened to it since the taker looked.
+/// Requests a duty. The request counts only if no record touched the duty after `seen`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Take {
-    /// This taking.
+    /// The id of this request.
     pub op: OperationId,
     /// The duty.
     pub duty: Duty,
-    /// The taker.
+    /// The node that requests the duty.
     pub holder: Incarnation,
-    /// Where the taker's peer interface listens.
+    /// The address of that node's peer interface.
     pub address: Address,
-    /// The record by which the duty was last granted, renewed, released or reset, as the taker
-    /// read it.
+    /// The last record that granted, renewed, released or reset the duty, as far as the writer had
+    /// read the log; `None` if there was none.
     pub seen: Option<Offset>,
 }
 
-/// Keeps all duties of a node in one record.
+/// Renews the leases of all duties of a node in one record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Renew {
-    /// This renewal.
+    /// The id of this renewal.
     pub op: OperationId,
     /// The holder.
     pub holder: Incarnation,
-    /// The duties kept.
+    /// The duties to renew.
     pub held: Vec<HeldRecord>,
 }
 
-/// Gives duties back, so that others need not wait for their end.
+/// Releases duties, so that other nodes need not wait for their leases to expire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Release {
-    /// This release.
+    /// The id of this release.
     pub op: OperationId,
     /// The holder.
     pub holder: Incarnation,
-    /// The duties given back.
+    /// The duties to release.
     pub held: Vec<HeldRecord>,
-    /// Whether the holder stops and takes none any more.
+    /// True if the holder is stopping and takes no more duties.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -70,14 +70,14 @@
     pub fencing: Fencing,
 }
 
-/// What the reduction of all records before `as_of` gives.
+/// The state that results from reducing all records before `as_of`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Checkpoint {
-    /// The writing of this checkpoint.
+    /// The id of the operation that wrote this checkpoint.
     pub op: OperationId,
-    /// The first offset whose record is not in it.
+    /// The first offset whose record the checkpoint does not include.
     pub as_of: Offset,
-    /// The last reset before it.
+    /// The last reset before `as_of`, if any.
     pub reset_at: Option<Offset>,
     /// The leases.
     pub grants: Vec<GrantRecord>,
@@ -88,19 +88,19 @@
 pub struct GrantRecord {
     /// The duty.
     pub duty: Duty,
-    /// Its holder; none after a release.
+    /// The holder; `None` after a release.
     pub holder: Option<Incarnation>,
-    /// Where the last holder's peer interface listens.
+    /// The address of the last holder's peer interface.
     pub address: Address,
     /// The fencing number.
     pub fencing: Fencing,
-    /// The last record that granted, renewed or released it.
+    /// The last record that granted, renewed or released the lease.
     pub touched: Offset,
 }
 
 /// Voids all leases.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reset {
-    /// This reset.
+    /// The id of this reset.
     pub op: OperationId,
 }
--- a/crates/control/src/records/mod.rs
+++ b/crates/control/src/records/mod.rs
@@ -1,10 +1,11 @@
 //! The records of the two control streams, as typed JSON.
 //!
-//! Terms: the *config stream* carries [`ConfigRecord`]s, the *leases stream* [`LeaseRecord`]s; a
-//! text too large for one record is cut into *parts*, which stand at consecutive offsets.
+//! Terms: the *config stream* carries [`ConfigRecord`]s, the *leases stream* [`LeaseRecord`]s. A
+//! text too large for one record is cut into *parts* at consecutive offsets.
 //!
-//! Invariants: unknown fields are ignored and unknown kinds skipped, so that a node can read what
-//! a newer version wrote; whether a record counts depends on its text alone, never on the reader.
+//! Invariants: unknown fields are ignored and unknown kinds are skipped, so that a node can read
+//! the records of a newer version. Whether a record counts depends on its text alone, never on the
+//! reader.
 
 mod codec;
 mod config;
--- a/crates/control/src/records/splice.rs
+++ b/crates/control/src/records/splice.rs
@@ -1,39 +1,40 @@
-//! An update's text as a change of the text it builds on.
+//! Encoding of an update as a change of the text that it is based on.
 //!
-//! A configuration with thousands of accounts is hundreds of kilobytes, of which a change touches
-//! a few lines. Written whole, a day's changes would cost each node more than its whole budget,
-//! to read them as they come and once more at each start.
+//! A configuration with thousands of accounts has hundreds of kilobytes, and a change concerns a
+//! few lines of it. If each update carried the whole text, the changes of one day would cost each
+//! node more than its whole traffic budget, since a node reads every update when it is written and
+//! again at each start.
 //!
-//! Invariants: a splice that does not fit the text it is applied to gives nothing, for every
+//! Invariants: a splice that does not fit the text that it is applied to gives `None`, for every
 //! reader alike.
 
 use bluebell_base::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// How much of the text before is kept at either end, around the new middle.
+/// The sizes of the beginning and the end of the previous text that are kept around a new middle.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Splice {
-    /// Kept at the beginning.
+    /// The number of bytes kept at the beginning.
     #[serde(default)]
     pub head_bytes: Bytes,
-    /// Kept at the end.
+    /// The number of bytes kept at the end.
     #[serde(default)]
     pub tail_bytes: Bytes,
 }
 
 impl Splice {
-    /// Keeps nothing: the middle is the whole text.
+    /// A splice that keeps nothing: the middle is the whole text.
     pub const WHOLE: Splice = Splice {
         head_bytes: Bytes::ZERO,
         tail_bytes: Bytes::ZERO,
     };
 
-    /// The splice and middle that make `after` out of `before`.
+    /// Returns the splice and the middle that turn `before` into `after`.
     pub fn between<'a>(before: &str, after: &'a str) -> (Splice, &'a str) {
-        let head = common(before.bytes(), after.bytes());
+        let head = common_length(before.bytes(), after.bytes());
         let head = floor_boundary(after, head);
         let rest = (&before.as_bytes()[head..], &after.as_bytes()[head..]);
-        let tail = common(rest.0.iter().rev(), rest.1.iter().rev());
+        let tail = common_length(rest.0.iter().rev(), rest.1.iter().rev());
         let start_of_tail = ceil_boundary(after, after.len() - tail);
         let splice = Splice {
             head_bytes: Bytes(head as u64),
@@ -42,8 +43,8 @@
         (splice, &after[head..start_of_tail])
     }
 
-    /// The text that `middle` makes out of `before`; none where it does not fit, or would be
-    /// larger than `limit_bytes`.
+    /// Returns the text that replacing the middle of `before` by `middle` gives. Returns `None` if
+    /// the splice does not fit `before` or the text would be larger than `limit_bytes`.
     pub fn apply(self, before: &str, middle: &str, limit_bytes: Bytes) -> Option<Arc<str>> {
         let head = usize::try_from(self.head_bytes.0).ok()?;
         let tail = usize::try_from(self.tail_bytes.0).ok()?;
@@ -57,11 +58,15 @@
     }
 }
 
-fn common<T: PartialEq>(one: impl Iterator<Item = T>, two: impl Iterator<Item = T>) -> usize {
+/// Returns the length of the common prefix of two sequences.
+fn common_length<T: PartialEq>(
+    one: impl Iterator<Item = T>,
+    two: impl Iterator<Item = T>,
+) -> usize {
     one.zip(two).take_while(|(a, b)| a == b).count()
 }
 
-// Both texts agree up to a cut, so a boundary of one is a boundary of the other.
+// Both texts are equal up to a cut, so a character boundary of one is one of the other too.
 
 fn floor_boundary(text: &str, mut at: usize) -> usize {
     while !text.is_char_boundary(at) {
