--- a/crates/control/src/reduce/assembly.rs
+++ b/crates/control/src/reduce/assembly.rs
@@ -1,63 +1,65 @@
-//! Joining the parts of a text.
+//! Assembly of a text from its parts.
 //!
-//! Parts count only where they stand at consecutive offsets: the log gives these to one append,
-//! so one writer's parts are never mixed with another's, and a repeated append is a text of its
-//! own. A reader therefore holds at most one unfinished text.
+//! Parts count only at consecutive offsets. The log assigns consecutive offsets to the records of
+//! one append, so the parts of one writer are never mixed with those of another, and a repeated
+//! append is a text of its own. A reader therefore holds at most one unfinished text.
 //!
-//! Invariants: a text is *cut off* where its first parts lie before the reader's start; whether
-//! those were sound is not known, so nobody may conclude from it that the text counts.
+//! Terms: a text is *cut off* if its first parts lie before the reader's start.
+//!
+//! Invariants: a reader never concludes that a cut-off text counts, since it can't know whether
+//! the parts that it did not read were valid.
 
 use crate::records::{Part, Splice};
 use bluebell_base::prelude::*;
 
-/// The largest text that is assembled; the reader's memory is bounded by it.
+/// The maximum size of an assembled text. It bounds the reader's memory.
 pub const MAX_TEXT_BYTES: Bytes = Bytes(32 * 1024 * 1024);
 
-/// What all parts of a text have in common.
+/// The fields that all parts of a text have in common.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Header {
-    /// Of an update.
+    /// The header of an update.
     Update {
         /// The publication.
         op: OperationId,
-        /// The version it builds on.
+        /// The version that the update is based on.
         base: ConfigVersion,
-        /// What of the base's text is kept.
+        /// The parts of the base's text that are kept.
         splice: Splice,
     },
-    /// Of a snapshot.
+    /// The header of a snapshot.
     Snapshot {
-        /// The writing of the snapshot.
+        /// The id of the operation that wrote the snapshot.
         op: OperationId,
         /// The version.
         version: ConfigVersion,
-        /// The publication that made it.
+        /// The publication that created the version.
         made_by: OperationId,
-        /// The first offset not in it.
+        /// The first offset that the snapshot does not include.
         as_of: Offset,
     },
 }
 
 /// A text whose last part was read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Whole {
-    /// What it is.
+pub struct CompleteText {
+    /// The header of its parts.
     pub header: Header,
-    /// The text; none where it is cut off.
+    /// The text; `None` if it is cut off.
     pub body: Option<Arc<str>>,
     /// The offset of the last part.
     pub last: Offset,
 }
 
-/// The unfinished text, if any.
+/// The state of the assembly: the unfinished text, if any.
 #[derive(Clone, Debug)]
 pub struct Assembly {
     start: Offset,
-    open: Option<Open>,
+    unfinished: Option<UnfinishedText>,
 }
 
 #[derive(Clone, Debug)]
-struct Open {
+struct UnfinishedText {
     header: Header,
     count: u32,
     first: Offset,
@@ -67,46 +69,62 @@
 }
 
 impl Assembly {
-    /// For a reader whose first record is at or behind `start`.
+    /// Returns the assembly of a reader whose first record is at or after `start`.
     pub fn new(start: Offset) -> Self {
-        Self { start, open: None }
+        Self {
+            start,
+            unfinished: None,
+        }
     }
 
-    /// Takes a part; gives the text where it was the last one.
-    pub fn add(&mut self, offset: Offset, header: Header, part: Part, body: &str) -> Option<Whole> {
-        let mut open = self.open_for(offset, header, part)?;
-        if open.text.len() + body.len() > MAX_TEXT_BYTES.0 as usize {
+    /// Adds a part. Returns the text if this was its last part.
+    pub fn add(
+        &mut self,
+        offset: Offset,
+        header: Header,
+        part: Part,
+        body: &str,
+    ) -> Option<CompleteText> {
+        let mut unfinished = self.text_for_part(offset, header, part)?;
+        if unfinished.text.len() + body.len() > MAX_TEXT_BYTES.0 as usize {
             return None;
         }
-        open.text.push_str(body);
-        open.next += 1;
+        unfinished.text.push_str(body);
+        unfinished.next += 1;
         if !part.is_last() {
-            self.open = Some(open);
+            self.unfinished = Some(unfinished);
             return None;
         }
-        Some(Whole {
-            body: (!open.cut_off).then(|| open.text.as_str().into()),
-            header: open.header,
+        Some(CompleteText {
+            body: (!unfinished.cut_off).then(|| unfinished.text.as_str().into()),
+            header: unfinished.header,
             last: offset,
         })
     }
 
-    fn open_for(&mut self, offset: Offset, header: Header, part: Part) -> Option<Open> {
-        let open = self.open.take();
+    /// Returns the unfinished text that the part continues, or a new text if the part can begin
+    /// one. Returns `None` if the part is to be ignored.
+    fn text_for_part(
+        &mut self,
+        offset: Offset,
+        header: Header,
+        part: Part,
+    ) -> Option<UnfinishedText> {
+        let unfinished = self.unfinished.take();
         if !part.is_valid() {
             return None;
         }
         let first = Offset(offset.0.checked_sub(part.index.into())?);
         let cut_off = first < self.start;
-        if let Some(open) = open.filter(|open| open.continues(first, &header, part)) {
-            return Some(open);
+        if let Some(text) = unfinished.filter(|text| text.continues(first, &header, part)) {
+            return Some(text);
         }
-        // A part in the middle is good for nothing, except as the rest of a text that began
-        // before this reader did.
+        // A part in the middle is ignored, unless it belongs to a text that began before this
+        // reader's start.
         if part.index > 0 && !cut_off {
             return None;
         }
-        Some(Open {
+        Some(UnfinishedText {
             header,
             count: part.count,
             first,
@@ -117,7 +135,7 @@
     }
 }
 
-impl Open {
+impl UnfinishedText {
     fn continues(&self, first: Offset, header: &Header, part: Part) -> bool {
         self.first == first
             && self.next == part.index
--- a/crates/control/src/reduce/config.rs
+++ b/crates/control/src/reduce/config.rs
@@ -1,30 +1,30 @@
 //! The reduction of the config stream.
 //!
 //! Rule: an update counts if and only if its base is the current version and its splice fits that
-//! version's text; it makes the next one.
-//! So of racing publications the first in the log wins and each other one is a conflict, and a
+//! version's text. It then creates the next version.
+//! So the first of several racing publications in the log wins and each other one is a conflict. A
 //! repeated append of an update that won is a conflict with itself.
 //!
-//! Invariants: the version never goes down; a snapshot never changes a known state.
+//! Invariants: the version never decreases; a snapshot never changes a known state.
 
-use super::assembly::{Assembly, Header, MAX_TEXT_BYTES, Whole};
+use super::assembly::{Assembly, CompleteText, Header, MAX_TEXT_BYTES};
 use crate::records::{ConfigRecord, Splice};
 use bluebell_base::prelude::*;
 
-/// The state of a reader that knows it.
+/// The state of the configuration as known to a reader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InForce {
     /// The version; 0 before the first publication.
     pub version: ConfigVersion,
-    /// The publication that made it.
+    /// The publication that created the version.
     pub made_by: OperationId,
-    /// Its text; empty for version 0.
+    /// The text of the version; empty for version 0.
     pub body: Arc<str>,
 }
 
 impl InForce {
-    /// The state before the first record of the stream.
-    pub fn first() -> Self {
+    /// Returns the state before the first record of the stream.
+    pub fn initial() -> Self {
         Self {
             version: ConfigVersion(0),
             made_by: OperationId(0),
@@ -33,41 +33,42 @@
     }
 }
 
-/// What one record did.
+/// The effect of one record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigOutcome {
-    /// An update made a new version.
+    /// An update created a new version.
     Accepted {
         /// The publication.
         op: OperationId,
-        /// The version it made.
+        /// The version that it created.
         version: ConfigVersion,
     },
-    /// An update's base was not current.
+    /// The base of an update was not the current version.
     Conflict {
         /// The publication.
         op: OperationId,
-        /// The version that is current.
+        /// The current version.
         current: ConfigVersion,
     },
-    /// A snapshot made the state known.
+    /// The reader adopted the state of a snapshot.
     Adopted {
-        /// The version it holds.
+        /// The version of the snapshot.
         version: ConfigVersion,
-        /// The publication that made this version.
+        /// The publication that created this version.
         made_by: OperationId,
     },
-    /// A snapshot was read; it changed nothing.
+    /// A snapshot was read and changed nothing.
     SnapshotSeen {
-        /// The writing of the snapshot.
+        /// The id of the operation that wrote the snapshot.
         op: OperationId,
-        /// The first offset not in it.
+        /// The first offset that the snapshot does not include.
         as_of: Offset,
-        /// Whether its version is what this reader had then, as far as it can tell.
+        /// False if the snapshot contradicts the state of this reader.
         agrees: bool,
     },
 }
 
+/// An update that is not applied yet.
 #[derive(Clone, Debug)]
 struct Pending {
     offset: Offset,
@@ -78,7 +79,7 @@
 }
 
 impl Pending {
-    /// The text it makes out of the current one; none where it does not count.
+    /// Returns the text of the version that the update creates; `None` if it does not count.
     fn text(&self, current: &InForce) -> Option<Arc<str>> {
         if self.base != current.version {
             return None;
@@ -91,26 +92,26 @@
 enum State {
     Known(InForce),
     Unknown {
-        /// Records from here on are known to this reader.
+        /// The offset from which on this reader has read all records.
         since: Offset,
         pending: Vec<Pending>,
     },
 }
 
-/// Reduces the config stream.
+/// The reducer of the config stream.
 #[derive(Clone, Debug)]
 pub struct ConfigReducer {
     state: State,
     assembly: Assembly,
-    /// The offset of the last record that changed the version, where this reader saw it.
+    /// The offset of the last record that changed the version, if this reader read it.
     changed_at: Option<Offset>,
 }
 
 impl ConfigReducer {
-    /// A reader that begins at `start`; it knows the state only if that is the very beginning.
+    /// Returns a reader that begins at `start`. It knows the state only if `start` is 0.
     pub fn new(start: Offset) -> Self {
         let state = match start {
-            Offset(0) => State::Known(InForce::first()),
+            Offset(0) => State::Known(InForce::initial()),
             since => State::Unknown {
                 since,
                 pending: Vec::new(),
@@ -123,7 +124,7 @@
         }
     }
 
-    /// The state, where it is known.
+    /// Returns the state if it is known.
     pub fn known(&self) -> Option<&InForce> {
         match &self.state {
             State::Known(in_force) => Some(in_force),
@@ -131,12 +132,12 @@
         }
     }
 
-    /// The offset of the last record that this reader saw change the version.
+    /// Returns the offset of the last record that changed the version, if this reader read it.
     pub fn changed_at(&self) -> Option<Offset> {
         self.changed_at
     }
 
-    /// How many updates wait for a snapshot.
+    /// Returns the number of updates that wait for a snapshot.
     pub fn pending(&self) -> usize {
         match &self.state {
             State::Known(_) => 0,
@@ -144,10 +145,11 @@
         }
     }
 
-    /// Records before `to` were lost to this reader: what they did is not known.
+    /// Continues at `to` after records before it were lost to this reader. The state becomes
+    /// unknown.
     ///
-    /// Going on with the state from before would let two readers give one update different fates:
-    /// a lost record may have been an update that won.
+    /// A lost record may have been an update that won. If the reader kept its earlier state, two
+    /// readers could disagree on whether a later update counts.
     pub fn skip_to(&mut self, to: Offset) {
         self.state = State::Unknown {
             since: to,
@@ -156,7 +158,8 @@
         self.assembly = Assembly::new(to);
     }
 
-    /// Reduces the record at `offset`; offsets come in order without gaps.
+    /// Applies the record at `offset` and appends its effects to `out`. The caller passes offsets
+    /// in order and without gaps.
     pub fn apply(&mut self, offset: Offset, record: &ConfigRecord, out: &mut Vec<ConfigOutcome>) {
         let (header, part, body) = match record {
             ConfigRecord::Update(update) => (
@@ -179,14 +182,14 @@
                 &snapshot.body,
             ),
         };
-        if let Some(whole) = self.assembly.add(offset, header, part, body) {
-            self.apply_whole(whole, out);
+        if let Some(text) = self.assembly.add(offset, header, part, body) {
+            self.apply_text(text, out);
         }
     }
 
-    fn apply_whole(&mut self, whole: Whole, out: &mut Vec<ConfigOutcome>) {
-        let last = whole.last;
-        match (whole.header, whole.body) {
+    fn apply_text(&mut self, text: CompleteText, out: &mut Vec<ConfigOutcome>) {
+        let last = text.last;
+        match (text.header, text.body) {
             (Header::Update { op, base, splice }, Some(body)) => {
                 let update = Pending {
                     offset: last,
@@ -237,10 +240,10 @@
         out.push(ConfigOutcome::Accepted { op, version });
     }
 
-    /// An update whose first parts this reader never saw.
+    /// Applies an update whose first parts this reader did not read.
     ///
-    /// Readers that saw them know whether the text was whole, and so whether it counts; this one
-    /// doesn't, and waits for a snapshot that was written with this update taken into account.
+    /// Readers that read all parts know whether the text was complete, and so whether it counts.
+    /// This reader does not, so it waits for a snapshot that takes this update into account.
     fn apply_cut_off(
         &mut self,
         last: Offset,
@@ -260,9 +263,11 @@
         };
     }
 
-    /// A snapshot is the truth as of its `as_of`, whenever it was written and by whomever, since
-    /// it was made by this same reduction. It helps a reader only if that one has read all that
-    /// came after `as_of`; an older one would hide lost updates from it.
+    /// Applies a snapshot.
+    ///
+    /// A snapshot is the correct state as of its `as_of`, whichever node wrote it and when, since
+    /// it is the result of this same reduction. A reader can use it only if it has read all records
+    /// from `as_of` on; an older snapshot would hide updates that the reader lost.
     fn apply_snapshot(
         &mut self,
         op: OperationId,
--- a/crates/control/src/reduce/leases.rs
+++ b/crates/control/src/reduce/leases.rs
@@ -1,15 +1,17 @@
 //! The reduction of the leases stream.
 //!
-//! Rule: a take counts if and only if nothing touched the duty since the taker looked, that is if
-//! the last record that granted, renewed, released or reset it is the one the taker names. A
-//! renewal or release counts where its fencing number is the current one.
+//! Terms: a record *touches* a duty if it grants, renews, releases or resets the lease of that
+//! duty.
 //!
-//! Why a take names the last renewal and not only the fencing number: a holder that was paused
-//! past its lease may wake and renew just before a taker's record lands. With the fencing number
-//! alone both would count, and the holder would believe in its renewal for a whole lease while
-//! the taker already holds the duty.
+//! Rule: a take counts if and only if the last record that touched the duty is the one that the
+//! take names. A renewal or release counts if its fencing number is the current one.
 //!
-//! Invariants: a duty's fencing number only grows; at most one holder a duty.
+//! A take names the last renewal and not only the fencing number, since a holder that was paused
+//! for longer than its lease may resume and renew just before the take reaches the log. With the
+//! fencing number alone both records would count, and the old holder would treat its renewal as
+//! valid for a whole lease while the new one already holds the duty.
+//!
+//! Invariants: the fencing number of a duty only grows; a duty has at most one holder.
 
 use crate::Duty;
 use crate::records::{Checkpoint, GrantRecord, HeldRecord, LeaseRecord, Release, Renew, Take};
@@ -19,36 +21,36 @@
 /// The lease of one duty.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// The holder; none after a release.
+    /// The holder; `None` after a release.
     pub holder: Option<Incarnation>,
-    /// Where the last holder's peer interface listens.
+    /// The address of the last holder's peer interface.
     pub address: Address,
     /// The fencing number: the offset of the take.
     pub fencing: Fencing,
-    /// The last record that granted, renewed or released it.
+    /// The last record that granted, renewed or released the lease.
     pub touched: Offset,
 }
 
-/// What one record did.
+/// The effect of one record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseOutcome {
     /// A take counted.
     Granted {
-        /// The taking.
+        /// The id of the take.
         op: OperationId,
         /// The duty.
         duty: Duty,
     },
-    /// A take came too late.
+    /// A take did not count, since another record had touched the duty.
     Refused {
-        /// The taking.
+        /// The id of the take.
         op: OperationId,
         /// The duty.
         duty: Duty,
     },
     /// A duty was renewed.
     Renewed {
-        /// The renewal.
+        /// The id of the renewal.
         op: OperationId,
         /// The duty.
         duty: Duty,
@@ -58,11 +60,11 @@
         /// The duty.
         duty: Duty,
     },
-    /// All grants changed: a checkpoint was adopted or a reset read.
+    /// All leases were replaced: a checkpoint was adopted or a reset was read.
     Replaced,
-    /// A checkpoint was read; it changed nothing.
+    /// A checkpoint was read and changed nothing.
     CheckpointSeen {
-        /// The first offset not in it.
+        /// The first offset that the checkpoint does not include.
         as_of: Offset,
     },
 }
@@ -76,7 +78,7 @@
     },
 }
 
-/// Reduces the leases stream.
+/// The reducer of the leases stream.
 #[derive(Clone, Debug)]
 pub struct LeaseReducer {
     state: State,
@@ -85,7 +87,7 @@
 }
 
 impl LeaseReducer {
-    /// A reader that begins at `start`; it knows the state only if that is the very beginning.
+    /// Returns a reader that begins at `start`. It knows the state only if `start` is 0.
     pub fn new(start: Offset) -> Self {
         let state = match start {
             Offset(0) => State::Known,
@@ -101,28 +103,28 @@
         }
     }
 
-    /// Whether the state is known.
+    /// Returns true if the state is known.
     pub fn is_known(&self) -> bool {
         matches!(self.state, State::Known)
     }
 
-    /// The duty's lease, where the state is known and there is one.
+    /// Returns the lease of a duty, if the state is known and there is one.
     pub fn grant(&self, duty: Duty) -> Option<&Grant> {
         self.grants.get(&duty)
     }
 
-    /// All leases, by duty.
+    /// Returns all leases, ordered by duty.
     pub fn grants(&self) -> impl Iterator<Item = (Duty, &Grant)> {
         self.grants.iter().map(|(duty, grant)| (*duty, grant))
     }
 
-    /// The record that last touched the duty; what a take has to name.
+    /// Returns the record that last touched the duty, which a take has to name.
     pub fn touched(&self, duty: Duty) -> Option<Offset> {
         let grant = self.grants.get(&duty);
         grant.map(|grant| grant.touched).or(self.reset_at)
     }
 
-    /// The state as of `as_of`, the offset behind the last applied record.
+    /// Returns a checkpoint of the state as of `as_of`, the offset after the last applied record.
     pub fn checkpoint(&self, op: OperationId, as_of: Offset) -> Checkpoint {
         let grants = self.grants.iter().map(|(duty, grant)| GrantRecord {
             duty: *duty,
@@ -139,7 +141,8 @@
         }
     }
 
-    /// Records before `to` were lost to this reader: it does not know the leases any more.
+    /// Continues at `to` after records before it were lost to this reader. The leases become
+    /// unknown.
     pub fn skip_to(&mut self, to: Offset) {
         self.grants.clear();
         self.state = State::Unknown {
@@ -148,7 +151,8 @@
         };
     }
 
-    /// Reduces the record at `offset`; offsets come in order without gaps.
+    /// Applies the record at `offset` and appends its effects to `out`. The caller passes offsets
+    /// in order and without gaps.
     pub fn apply(&mut self, offset: Offset, record: LeaseRecord, out: &mut Vec<LeaseOutcome>) {
         match record {
             LeaseRecord::Reset(_) => self.reset(offset, out),
@@ -204,16 +208,16 @@
         }
     }
 
-    /// The grant that `holder` still has under that fencing number.
+    /// Returns the lease that `holder` still has under the fencing number of `held`.
     fn current(&mut self, holder: Incarnation, held: &HeldRecord) -> Option<&mut Grant> {
         let grant = self.grants.get_mut(&held.duty)?;
         let same = grant.fencing == held.fencing && grant.holder == Some(holder);
         same.then_some(grant)
     }
 
-    /// Voids all leases. Every reader does so at the same offset, whatever it knew before, so it
-    /// also ends the state of not knowing. Takers wait after it as after a renewal, since a
-    /// holder may not have read it yet.
+    /// Voids all leases. Every reader does so at the same offset, whatever it knew before, so the
+    /// state becomes known. Nodes wait after a reset as after a renewal before they take a duty,
+    /// since its holder may not have read the reset yet.
     fn reset(&mut self, offset: Offset, out: &mut Vec<LeaseOutcome>) {
         self.grants.clear();
         self.reset_at = Some(offset);
@@ -221,8 +225,8 @@
         out.push(LeaseOutcome::Replaced);
     }
 
-    /// As with config snapshots, a checkpoint helps only a reader that knows all records behind
-    /// its `as_of`.
+    /// Adopts a checkpoint if the state is unknown. As with config snapshots, a reader can use it
+    /// only if it has read all records from `as_of` on.
     fn adopt(&mut self, checkpoint: Checkpoint, out: &mut Vec<LeaseOutcome>) {
         let as_of = checkpoint.as_of;
         let pending = match &mut self.state {
--- a/crates/control/src/reduce/mod.rs
+++ b/crates/control/src/reduce/mod.rs
@@ -1,11 +1,12 @@
-//! The pure reduction of the control streams: same records, same state, whoever reads.
+//! Reduction of the control streams to their state. The state depends only on the records, not on
+//! the reader.
 //!
-//! Terms: a reader *knows* the state where it has read every record that made it, or adopted a
-//! snapshot that stands for those it has not; otherwise the state is *unknown* and later records
-//! are *pending*.
+//! Terms: a reader *knows* the state if it has read every record that contributes to it, or has
+//! adopted a snapshot that replaces those that it has not read. Otherwise the state is *unknown*
+//! and later records are *pending*.
 //!
-//! Invariants: no clock, no randomness and nothing of the reader enters; of two readers that
-//! started at different offsets, either both know and agree, or one knows and the other does not.
+//! Invariants: the reduction uses no clock, no randomness and no property of the reader. Two
+//! readers that started at different offsets and both know the state agree on it.
 
 mod assembly;
 pub mod config;
