--- a/crates/control/src/actor/config_side.rs
+++ b/crates/control/src/actor/config_side.rs
@@ -1,4 +1,4 @@
-//! The config half: reading the stream, bringing versions into force, writing snapshots.
+//! The config side: reads the stream, brings versions into force and writes snapshots.
 
 use super::Control;
 use super::publishing::Publications;
@@ -19,28 +19,32 @@
 use stakker::{ActorOwn, CX, Cx, call, fwd_to, ret_some_to};
 use std::collections::VecDeque;
 
-/// The versions kept for [`Control::history`].
-const HISTORY_KEPT: usize = 256;
+/// The maximum number of versions kept for [`Control::history`].
+const MAX_HISTORY_VERSIONS: usize = 256;
 
-/// Snapshots are written this many times within the time the log keeps records, so that the loss
-/// of one, a holder's death and a racing update each still leave another.
+/// The number of snapshots written within the time for which the log keeps records. After the
+/// loss of one, a holder's death or a racing update, another one is still left.
 const SNAPSHOTS_PER_RETENTION: u64 = 4;
 
-/// What of a record's size limit is left to its other fields and to escaped characters.
-const PART_SHARE: u64 = 2;
+/// The divisor of the record limit that gives the size of a part. The other half is left to the
+/// record's other fields and to escaped characters.
+const PART_DIVISOR: u64 = 2;
 
-/// How many times the usual interval the pause between failing reads grows to, and its bound.
-const READING_SLOWER: u64 = 8;
-const READING_CAP_MS: SpanMs = SpanMs::from_secs(5);
+/// The maximum pause between failing reads, as a multiple of the usual interval.
+const MAX_READ_BACKOFF_INTERVALS: u64 = 8;
 
-/// The faults of a configuration that are told at once.
-pub(super) const FAULTS_TOLD: usize = 20;
+/// The absolute maximum of that pause.
+const MAX_READ_BACKOFF_MS: SpanMs = SpanMs::from_secs(5);
 
-/// The most bytes of records asked for in one read of the config stream.
-const READ_BYTES: Bytes = Bytes(1024 * 1024);
+/// The maximum number of faults of a configuration that are reported together.
+pub(super) const MAX_REPORTED_FAULTS: usize = 20;
 
-/// The largest publication; the assembling reader has the same bound.
-pub(super) const APPEND_BYTES: Bytes = Bytes(40 * 1024 * 1024);
+/// The maximum size of the records requested in one read of the config stream.
+const MAX_READ_BYTES: Bytes = Bytes(1024 * 1024);
+
+/// The maximum size of the records of one publication. The text itself is bounded by
+/// [`crate::reduce::MAX_TEXT_BYTES`], as at the reader that assembles it.
+pub(super) const MAX_APPEND_BYTES: Bytes = Bytes(40 * 1024 * 1024);
 
 /// A snapshot that was read.
 #[derive(Clone, Copy, Debug)]
@@ -49,15 +53,15 @@
     appended_ms: WallMs,
 }
 
-/// What is in force on this node.
-struct InForceHere {
+/// The configuration in force on this node.
+struct LocalInForce {
     version: ConfigVersion,
     body: Arc<str>,
-    /// What this program's check has against it.
+    /// The faults that this program's check finds in it.
     faults: Vec<Fault>,
 }
 
-/// The config half's state.
+/// The state of the config side.
 pub(super) struct ConfigSide {
     tail: ActorOwn<Tail>,
     pub(super) appender: ActorOwn<Appender>,
@@ -66,7 +70,7 @@
     at_end: bool,
     down: bool,
     skipped: SkippedRecords,
-    in_force: Option<InForceHere>,
+    in_force: Option<LocalInForce>,
     unusable: Option<UnusableVersion>,
     history: VecDeque<VersionSeen>,
     pub(super) publications: Publications,
@@ -112,8 +116,8 @@
         in_force.map_or(ConfigVersion(0), |in_force| in_force.version)
     }
 
-    /// The highest version that is in force or can't be used here.
-    pub(super) fn reached(&self) -> ConfigVersion {
+    /// Returns the highest version that is in force or unusable on this node.
+    pub(super) fn highest_received(&self) -> ConfigVersion {
         let in_force = self.in_force_version();
         let unusable = self.unusable.as_ref();
         unusable.map_or(in_force, |unusable| unusable.version.max(in_force))
@@ -124,13 +128,13 @@
         in_force.map_or_else(|| "".into(), |in_force| in_force.body.clone())
     }
 
-    /// What the check has against the version in force; the first of them.
+    /// Returns the first faults that the check finds in the version in force.
     pub(super) fn faults(&self) -> Vec<Fault> {
         let faults = self.in_force.iter().flat_map(|in_force| &in_force.faults);
-        faults.take(FAULTS_TOLD).cloned().collect()
+        faults.take(MAX_REPORTED_FAULTS).cloned().collect()
     }
 
-    /// The version that can't be used here, where none newer is in force.
+    /// Returns the version that can't be used on this node, unless a newer one is in force.
     pub(super) fn unusable(&self) -> Option<UnusableVersion> {
         let unusable = self.unusable.as_ref();
         let newer = unusable.filter(|unusable| unusable.version > self.in_force_version());
@@ -169,7 +173,7 @@
         std::mem::take(&mut self.outcomes)
     }
 
-    /// Reads soon, after an own append.
+    /// Requests an early read, after an append of this node.
     pub(super) fn poll_soon(&self) {
         call!([self.tail], poll_soon());
     }
@@ -205,11 +209,11 @@
         }
     }
 
-    /// Whether a snapshot has to be written, `log_now_ms` being the log's clock.
+    /// Returns true if a snapshot has to be written. `log_now_ms` is the time of the log's clock.
     ///
-    /// The log's clock counts and not this node's: a node that has just started knows nothing of
-    /// how long ago a snapshot was written, and many short-lived holders in a row would otherwise
-    /// let retention take the last one.
+    /// The decision uses the log's clock, since a node that has just started can't tell by its own
+    /// clock how long ago a snapshot was written. Otherwise, with many short-lived holders in a
+    /// row, retention could remove the last snapshot.
     fn snapshot_due(&self, log_now_ms: WallMs, interval_ms: SpanMs) -> bool {
         if !self.at_end || self.reducer.known().is_none() {
             return false;
@@ -218,15 +222,15 @@
             let since_ms = self.first_change_ms;
             return since_ms.is_some_and(|at_ms| log_now_ms.0 >= at_ms.0 + interval_ms.0);
         };
-        // A reader that starts between `as_of` and the snapshot can't use it; an update there
-        // makes that worth a new one soon.
+        // A reader that starts between `as_of` and the snapshot can't use it. If an update was
+        // written there, a new snapshot is due early.
         let raced = self.reducer.changed_at().is_some_and(|at| at >= seen.as_of)
             && log_now_ms.0 >= seen.appended_ms.0 + interval_ms.0 / SNAPSHOTS_PER_RETENTION;
         raced || log_now_ms.0 >= seen.appended_ms.0 + interval_ms.0
     }
 }
 
-/// Follows the config stream from its beginning.
+/// Spawns a tail that reads the config stream from its beginning.
 fn open_tail(
     cx: &mut Cx<'_, Control>,
     ports: &ControlPorts,
@@ -240,8 +244,8 @@
     };
     let tail_settings = TailSettings {
         interval_ms: settings.config_tail_ms,
-        limit_bytes: READ_BYTES,
-        backoff: reading_backoff(settings.config_tail_ms),
+        limit_bytes: MAX_READ_BYTES,
+        backoff: read_backoff(settings.config_tail_ms),
     };
     let events = fwd_to!([cx], on_config_tail() as (TailEvent));
     let (log, timers) = (ports.log.clone(), timers.clone());
@@ -256,8 +260,8 @@
     seed: u64,
 ) -> ActorOwn<Appender> {
     let appender_settings = AppenderSettings {
-        batch_bytes: APPEND_BYTES,
-        waiting_bytes: APPEND_BYTES,
+        batch_bytes: MAX_APPEND_BYTES,
+        waiting_bytes: MAX_APPEND_BYTES,
         ..AppenderSettings::default()
     };
     let (log, timers) = (ports.log.clone(), timers.clone());
@@ -265,17 +269,18 @@
     Appender::spawn(cx, log, timers, stream, appender_settings, seed)
 }
 
-/// Reading goes on fast after a short failure and slowly in a long outage.
-pub(super) fn reading_backoff(interval_ms: SpanMs) -> BackoffSettings {
+/// Returns the backoff of failing reads: short after a brief failure, long in a long outage.
+pub(super) fn read_backoff(interval_ms: SpanMs) -> BackoffSettings {
     BackoffSettings {
         first_ms: interval_ms,
-        cap_ms: SpanMs(interval_ms.0.saturating_mul(READING_SLOWER)).min(READING_CAP_MS),
+        cap_ms: SpanMs(interval_ms.0.saturating_mul(MAX_READ_BACKOFF_INTERVALS))
+            .min(MAX_READ_BACKOFF_MS),
     }
 }
 
-/// How many bytes of text go into one record.
+/// Returns the maximum number of bytes of text in one record.
 pub(super) fn part_bytes(record_bytes: Bytes) -> Bytes {
-    Bytes(record_bytes.0 / PART_SHARE)
+    Bytes(record_bytes.0 / PART_DIVISOR)
 }
 
 impl Control {
@@ -289,7 +294,7 @@
                 }
                 self.config.at_end = self.config.next >= end;
                 self.settle_publications();
-                self.follow_log(cx);
+                self.apply_log_version(cx);
             }
             TailEvent::Gap { to, .. } => {
                 self.config.next = to;
@@ -303,11 +308,11 @@
         }
     }
 
-    /// Brings into force what the log gives, once it is read to its end.
+    /// Brings the current version of the log into force once the log is read to its end.
     ///
-    /// Versions read on the way there are old ones; a node that has just started would go through
-    /// them one after the other while its peers hold the newest.
-    fn follow_log(&mut self, cx: CX![]) {
+    /// Versions before the end are old. A node that has just started would otherwise bring them
+    /// into force one after the other while its peers hold the newest version.
+    fn apply_log_version(&mut self, cx: CX![]) {
         if !self.config.at_end {
             return;
         }
@@ -315,41 +320,41 @@
             return;
         };
         let (version, body) = (known.version, known.body.clone());
-        self.offer(cx, version, body, VersionSource::Log);
+        self.accept_version(cx, version, body, VersionSource::Log);
     }
 
-    /// Brings a version into force if it is newer than the one in force and no older than what
-    /// any peer was seen to hold.
-    pub(super) fn offer(
+    /// Brings a version into force if it is newer than the highest received version and not older
+    /// than the highest version that any peer reported.
+    pub(super) fn accept_version(
         &mut self,
         cx: CX![],
         version: ConfigVersion,
         body: Arc<str>,
         source: VersionSource,
     ) {
-        // A lagging log or a stale peer offers old versions; to take one would be to revert.
-        let newer = version > self.config.reached();
+        // A lagging log or a stale peer provides old versions. Accepting one would be a reversion.
+        let newer = version > self.config.highest_received();
         if !newer || version < self.peers.floor() {
             return;
         }
         match bluebell_config::decode(&body) {
             Ok(config) => self.bring_into_force(cx, version, body, config, source),
             Err(fault) => {
-                // A newer version of the program may publish what this one can't decode. The old
-                // configuration stays in force; whether a version counts must not depend on who
-                // reads it.
+                // A newer version of the program may publish a text that this one can't decode. The
+                // old configuration stays in force; whether a version counts must not depend on the
+                // reader.
                 log::error!("{version} can't be used here: {fault}");
                 self.config.unusable = Some(UnusableVersion { version, fault });
             }
         }
     }
 
-    /// Brings a version into force, whatever the check has against it.
+    /// Brings a version into force, whatever faults the check finds.
     ///
-    /// The check stands before the append. A version in the log passed the check of the program
-    /// that published it; where a newer program's stricter check kept it out of force, a node
-    /// that starts after an upgrade would have no configuration and refuse all work, and the
-    /// fleet's nodes would differ in what is in force. So its faults are only told.
+    /// The check guards the append: a version in the log passed the check of the program that
+    /// published it. If a newer program's stricter check kept the version out of force, a node that
+    /// starts after an upgrade would have no configuration and refuse all work, and the nodes of
+    /// the fleet would have different versions in force. So the faults are only reported.
     fn bring_into_force(
         &mut self,
         cx: CX![],
@@ -369,10 +374,10 @@
             at_ms: self.timers.now_ms(cx),
             body_bytes: Bytes(body.len() as u64),
         });
-        if self.config.history.len() > HISTORY_KEPT {
+        if self.config.history.len() > MAX_HISTORY_VERSIONS {
             self.config.history.pop_front();
         }
-        self.config.in_force = Some(InForceHere {
+        self.config.in_force = Some(LocalInForce {
             version,
             body,
             faults,
@@ -425,8 +430,8 @@
     fn on_snapshot_appended(&mut self, _cx: CX![], answer: Result<Offset, Error>) {
         match answer {
             Ok(_) => self.config.poll_soon(),
-            // Whether it is in the log shows when it is read, or it is written again.
-            Err(error) => log::warn!("a config snapshot may be missing: {error}"),
+            // The next reads show whether the snapshot is in the log. If not, it is written again.
+            Err(error) => log::warn!("append failed, a config snapshot may be missing: {error}"),
         }
     }
 }
--- a/crates/control/src/actor/lease_side/duties.rs
+++ b/crates/control/src/actor/lease_side/duties.rs
@@ -1,8 +1,9 @@
-//! What this node does about its duties on each tick: lapse, renew, take, balance, checkpoint.
+//! The work on duties at each tick: expires and renews leases, takes and balances duties, and
+//! writes checkpoints.
 
 use super::Taking;
 use crate::actor::Control;
-use crate::leases::{Taker, take_delay_ms, weight};
+use crate::leases::{Candidate, take_delay_ms, weight};
 use crate::records::{HeldRecord, LeaseRecord, Release, Renew, Take};
 use crate::{ControlEvent, Duty};
 use bluebell_base::prelude::*;
@@ -10,35 +11,36 @@
 use rand::Rng;
 use stakker::{CX, Ret};
 
-/// Renewals within one lease, so that one lost append still leaves another.
+/// The number of renewals within one lease. After one lost append there is still another.
 const RENEWALS_PER_LEASE: u64 = 3;
 
-/// Records after which a checkpoint is written before its time, so that a fresh node finds one
+/// The number of records after which a checkpoint is written early, so that a new node finds one
 /// in the window that it reads.
-const CHECKPOINT_RECORDS: u64 = 512;
+const MAX_RECORDS_PER_CHECKPOINT: u64 = 512;
 
-/// The most by which a taker delays by chance, against takers that agree on the rank.
+/// The maximum random delay of a take, for nodes that compute the same rank.
 const TAKE_JITTER_MS: u64 = 100;
 
-/// The longest time between two duties given back for balance.
-const BALANCE_CAP_MS: SpanMs = SpanMs::from_secs(600);
+/// The maximum time between two releases for balance.
+const MAX_BALANCE_PAUSE_MS: SpanMs = SpanMs::from_secs(600);
 
-/// How long a duty given back for balance is left to others. If the one it was meant for does not
-/// take it by then, it is better held by this node than by nobody.
-const COOLING_MS: SpanMs = SpanMs(5_000);
+/// The time for which a duty released for balance is left to other nodes. If the intended node has
+/// not taken it by then, it is better held by this node than by none.
+const RETAKE_DELAY_MS: SpanMs = SpanMs(5_000);
 
-/// When to look at the balance again.
+/// The schedule of releases for balance.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Balance {
     next_ms: MonoMs,
     pause_ms: SpanMs,
-    /// What the poorest node held when this node last gave a duty back.
+    /// The smallest number of duties that any node held when this node last released a duty for
+    /// balance; `None` if it released none at the last check.
     fewest: Option<usize>,
 }
 
 impl Control {
     pub(in crate::actor) fn tick_leases(&mut self, cx: CX![], now_ms: MonoMs) {
-        for change in self.leases.holder.lapse(now_ms) {
+        for change in self.leases.holder.expire(now_ms) {
             self.announce(Some(change));
         }
         if self.leases.tail.is_none() {
@@ -65,7 +67,7 @@
         }
         self.leases.renewed_ms = Some(now_ms);
         let op = self.operation();
-        self.leases.holder.sending(op, now_ms);
+        self.leases.holder.on_send(op, now_ms);
         let holder = self.me.incarnation;
         self.append_lease(cx, &LeaseRecord::Renew(Renew { op, holder, held }));
     }
@@ -85,10 +87,11 @@
         }
     }
 
-    /// Whether this node's view is fresh enough to take anything.
+    /// Returns true if this node has read the log recently enough to take duties.
     ///
-    /// After an outage of the log all leases are over on all clocks and all nodes would take at
-    /// once; the old holders get the time of one renewal to keep what they had.
+    /// After an outage of the log all leases have expired on all clocks, and all nodes would take
+    /// duties at once. So the old holders first get half the duration of a lease, which is enough
+    /// for one renewal.
     fn may_take(&self, now_ms: MonoMs) -> bool {
         let leases = &self.leases;
         let settled = now_ms.since(self.started_ms) >= self.settings.settle_ms;
@@ -98,8 +101,8 @@
         };
         let up = leases.up_since_ms;
         let up = up.is_some_and(|since_ms| now_ms.since(since_ms) >= grace_ms);
-        // Read lately and to the end: what is older may hide a renewal. The log would refuse the
-        // take, so this saves appends and is no matter of safety.
+        // The stream must have been read recently and to its end, since an older state may lack a
+        // renewal. The reduction refuses such a take, so this only saves appends.
         let fresh_ms = SpanMs(self.settings.leases_tail_ms.0 * 4);
         let fresh = leases
             .read_ms
@@ -110,27 +113,27 @@
     fn take_due(&mut self, duty: Duty, now_ms: MonoMs) -> bool {
         let leases = &self.leases;
         let busy = leases.taking.contains_key(&duty);
-        let cooling = leases.cooling.get(&duty);
-        let cooling = cooling.is_some_and(|until_ms| now_ms < *until_ms);
-        if busy || cooling || self.leases.holder_of(duty) == Some(self.me.incarnation) {
+        let retake_ms = leases.retake_after.get(&duty);
+        let released = retake_ms.is_some_and(|until_ms| now_ms < *until_ms);
+        if busy || released || self.leases.holder_of(duty) == Some(self.me.incarnation) {
             return false;
         }
         let wait_ms = self.settings.ttl_ms + self.settings.margin_ms;
-        let Some(free_ms) = leases.watch.free_at(duty, wait_ms) else {
+        let Some(free_ms) = leases.availability.free_at(duty, wait_ms) else {
             return false;
         };
         let free_ms = free_ms.max(self.started_ms + self.settings.settle_ms);
         if now_ms < free_ms {
             return false;
         }
-        let delay_ms = take_delay_ms(duty, self.me.incarnation, &self.takers());
+        let delay_ms = take_delay_ms(duty, self.me.incarnation, &self.candidates());
         let jitter_ms = SpanMs(self.random.random_range(0..=TAKE_JITTER_MS));
         now_ms >= free_ms + delay_ms + jitter_ms
     }
 
     fn take(&mut self, cx: CX![], duty: Duty, now_ms: MonoMs) {
         let op = self.operation();
-        self.leases.holder.sending(op, now_ms);
+        self.leases.holder.on_send(op, now_ms);
         let taking = Taking {
             op,
             sent_ms: now_ms,
@@ -146,22 +149,23 @@
         self.append_lease(cx, &LeaseRecord::Take(take));
     }
 
-    /// The live nodes with what the log says they hold; this one also with what it is taking.
-    fn takers(&self) -> Vec<Taker> {
-        // The log tells of a stopping node before its card reaches everyone.
+    /// Returns the live nodes with the number of duties that they hold according to the log. The
+    /// number of this node includes the duties that it is taking.
+    fn candidates(&self) -> Vec<Candidate> {
+        // The log shows that a node is stopping before its card reaches all nodes.
         let stays =
             |card: &&NodeCard| !card.leaving && !self.leases.leaving.contains(&card.incarnation);
         let live = self.nodes.iter().filter(stays);
-        let taker = |card: &NodeCard| Taker {
+        let candidate = |card: &NodeCard| Candidate {
             node: card.incarnation,
             held: self.held_by(card.incarnation),
         };
-        let mut takers: Vec<Taker> = live.map(taker).collect();
-        takers.push(Taker {
+        let mut candidates: Vec<Candidate> = live.map(candidate).collect();
+        candidates.push(Candidate {
             node: self.me.incarnation,
             held: self.held_by(self.me.incarnation) + self.leases.taking.len(),
         });
-        takers
+        candidates
     }
 
     fn held_by(&self, node: Incarnation) -> usize {
@@ -170,12 +174,13 @@
         held.count()
     }
 
-    /// Gives one duty back where another node holds at least two fewer.
+    /// Releases one duty if another node holds at least two fewer.
     ///
-    /// With a difference of one a duty would go back and forth. One per lease time, since a duty
-    /// that moves costs its users a takeover. Where the last one given back did not make the
-    /// poorest node any richer, that node may be unable to take (paused, or cut off from the log
-    /// but not from its peers); then the time doubles, so that duties don't circle for its sake.
+    /// With a difference of one, a duty would move back and forth. A node releases at most one duty
+    /// per duration of a lease, since each move costs the users of the duty a takeover. If the node
+    /// with the fewest duties holds no more than at the last release, it may be unable to take any
+    /// (paused, or cut off from the log but not from its peers). Then the pause doubles, so that
+    /// duties do not keep moving without effect.
     fn balance(&mut self, cx: CX![], now_ms: MonoMs) {
         let ttl_ms = self.settings.ttl_ms;
         let balance = self.leases.balance.get_or_insert(Balance {
@@ -187,13 +192,17 @@
             return;
         }
         let held = self.leases.holder.renewable();
-        let fewest = self.takers().iter().map(|taker| taker.held).min();
+        let fewest = self
+            .candidates()
+            .iter()
+            .map(|candidate| candidate.held)
+            .min();
         let fewest = fewest.filter(|fewest| held.len() >= fewest + 2);
         let last = self.leases.balance.take();
-        let in_vain = last.is_some_and(|last| last.fewest.is_some() && last.fewest >= fewest);
+        let no_effect = last.is_some_and(|last| last.fewest.is_some() && last.fewest >= fewest);
         let last_ms = last.map_or(ttl_ms, |last| last.pause_ms);
-        let pause_ms = match in_vain && fewest.is_some() {
-            true => (last_ms + last_ms).min(BALANCE_CAP_MS),
+        let pause_ms = match no_effect && fewest.is_some() {
+            true => (last_ms + last_ms).min(MAX_BALANCE_PAUSE_MS),
             false => ttl_ms,
         };
         let jitter_ms = self.random.random_range(0..=ttl_ms.0 / 2);
@@ -206,15 +215,15 @@
             return;
         }
         let me = self.me.incarnation;
-        let least_own = held.into_iter().min_by_key(|held| weight(held.duty, me));
-        if let Some(record) = least_own {
-            let until_ms = now_ms + COOLING_MS;
-            self.leases.cooling.insert(record.duty, until_ms);
+        let lowest_weight = held.into_iter().min_by_key(|held| weight(held.duty, me));
+        if let Some(record) = lowest_weight {
+            let until_ms = now_ms + RETAKE_DELAY_MS;
+            self.leases.retake_after.insert(record.duty, until_ms);
             self.release(cx, vec![record]);
         }
     }
 
-    /// Stops acting on the duties first and tells the others afterwards.
+    /// Stops acting on the duties, then appends their release.
     fn release(&mut self, cx: CX![], held: Vec<HeldRecord>) {
         for record in &held {
             if self.leases.holder.give_up(record.duty).is_some() {
@@ -238,7 +247,8 @@
         let held = self.leases.holder.renewable();
         self.drained = true;
         if held.is_empty() {
-            // Said all the same, so that nobody gives duties back for the sake of this node.
+            // The record is written all the same, so that other nodes do not release duties for
+            // this node to take.
             self.release(cx, held);
             return ret.ret(());
         }
@@ -254,8 +264,9 @@
         }
     }
 
-    /// Answers a drain once the release is read back, or once the leases are over anyway: with
-    /// the log down others take them after their end, and a stopping node must not wait for it.
+    /// Answers a drain once the release is read back, or once the leases have ended. While the log
+    /// is down, other nodes take the duties after the leases end, and a stopping node must not wait
+    /// for the log.
     pub(in crate::actor) fn finish_drain(&mut self, now_ms: MonoMs) {
         if self.draining.is_none() {
             return;
@@ -280,9 +291,9 @@
         }
         let since_ms = |at_ms: MonoMs| now_ms.since(at_ms);
         let written_ms = self.leases.checkpoint_ms;
-        // Where none was seen, one is due: nodes that start now can't know the leases.
+        // If no checkpoint was read, one is due, since nodes that start now can't know the leases.
         let old = written_ms.is_none_or(|at_ms| since_ms(at_ms) >= self.settings.checkpoint_ms);
-        let many = self.leases.next.0 >= self.leases.checkpoint_at.0 + CHECKPOINT_RECORDS;
+        let many = self.leases.next.0 >= self.leases.checkpoint_at.0 + MAX_RECORDS_PER_CHECKPOINT;
         let spaced = written_ms.is_none_or(|at_ms| since_ms(at_ms) >= self.settings.leases_tail_ms);
         if old || (many && spaced) {
             self.leases.checkpoint_ms = Some(now_ms);
--- a/crates/control/src/actor/lease_side/mod.rs
+++ b/crates/control/src/actor/lease_side/mod.rs
@@ -1,10 +1,10 @@
-//! The lease half: reading the stream, renewing, taking, releasing, checkpoints.
+//! The lease side: reads the stream, renews, takes and releases duties, and writes checkpoints.
 
 mod duties;
 
 use super::Control;
-use super::config_side::reading_backoff;
-use crate::leases::{Change, Holder, Watch};
+use super::config_side::read_backoff;
+use crate::leases::{Availability, Change, Holder};
 use crate::print::SkippedRecords;
 use crate::records::{LeaseRecord, Reset, decode, encode};
 use crate::reduce::{Grant, LeaseOutcome, LeaseReducer};
@@ -22,34 +22,36 @@
 use stakker::{ActorOwn, CX, Cx, call, fwd_to, ret_some_to, ret_to};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The time between two tries to find the stream's end at the start.
-const FIND_END_AGAIN_MS: SpanMs = SpanMs(500);
+/// The minimum time between two attempts to find the end of the stream at the start.
+const FIND_END_RETRY_MS: SpanMs = SpanMs(500);
 
-/// How many checkpoint intervals a reader that knows nothing waits before it resets all leases;
-/// in that time a holder that has died is replaced and its successor writes a checkpoint.
+/// The number of checkpoint intervals for which a reader with an unknown state waits before it
+/// resets all leases. In that time a dead holder is replaced and its successor writes a
+/// checkpoint.
 const RESET_AFTER_CHECKPOINTS: u64 = 2;
 
-/// How many times within a lease a holder tries to append again while the log fails.
-const TRIES_PER_LEASE: u64 = 4;
+/// The number of append attempts of a holder within a lease while the log fails.
+const ATTEMPTS_PER_LEASE: u64 = 4;
 
-/// A take of this node whose fate is not read.
+/// A take of this node whose outcome is not read yet.
 #[derive(Clone, Copy, Debug)]
 struct Taking {
     op: OperationId,
     sent_ms: MonoMs,
 }
 
-/// The lease half's state.
+/// The state of the lease side.
 pub(super) struct LeaseSide {
     tail: Option<ActorOwn<Tail>>,
     appender: ActorOwn<Appender>,
     reducer: LeaseReducer,
     holder: Holder,
-    watch: Watch,
+    availability: Availability,
     next: Offset,
     at_end: bool,
     down: bool,
-    /// Since when the stream has been readable without a break; none while it is not.
+    /// The time since which the stream has been readable without interruption; `None` while it is
+    /// not.
     up_since_ms: Option<MonoMs>,
     had_outage: bool,
     read_ms: Option<MonoMs>,
@@ -58,7 +60,8 @@
     skipped: SkippedRecords,
     taking: BTreeMap<Duty, Taking>,
     renewed_ms: Option<MonoMs>,
-    cooling: BTreeMap<Duty, MonoMs>,
+    /// The duties released for balance, with the time from which this node may take each again.
+    retake_after: BTreeMap<Duty, MonoMs>,
     balance: Option<Balance>,
     leaving: BTreeSet<Incarnation>,
     checkpoint_at: Offset,
@@ -88,7 +91,7 @@
             appender,
             reducer: LeaseReducer::new(Offset(0)),
             holder: Holder::new(me.incarnation, valid_ms),
-            watch: Watch::default(),
+            availability: Availability::default(),
             next: Offset(0),
             at_end: false,
             down: false,
@@ -100,7 +103,7 @@
             skipped: SkippedRecords::default(),
             taking: BTreeMap::new(),
             renewed_ms: None,
-            cooling: BTreeMap::new(),
+            retake_after: BTreeMap::new(),
             balance: None,
             leaving: BTreeSet::new(),
             checkpoint_at: Offset(0),
@@ -124,8 +127,8 @@
         self.taking.len()
     }
 
-    pub(super) fn until(&self) -> impl Iterator<Item = (&Lease, MonoMs)> {
-        self.holder.until()
+    pub(super) fn held(&self) -> impl Iterator<Item = (&Lease, MonoMs)> {
+        self.holder.leases()
     }
 
     pub(super) fn valid(&self, duty: Duty, now_ms: MonoMs) -> bool {
@@ -148,7 +151,7 @@
         self.reducer.grants().filter_map(lease).collect()
     }
 
-    /// The log's own clock, as of the newest record read from either stream.
+    /// Returns the time of the log's clock at the newest record read from either stream.
     pub(super) fn log_clock(&self) -> Option<WallMs> {
         self.log_clock_ms
     }
@@ -157,8 +160,8 @@
         self.log_clock_ms = self.log_clock_ms.max(Some(at_ms));
     }
 
-    /// Forgets stopped nodes that are no longer among the live ones.
-    pub(super) fn forget_left(&mut self, is_live: impl Fn(&Incarnation) -> bool) {
+    /// Forgets stopping nodes that are no longer live.
+    pub(super) fn forget_stopped(&mut self, is_live: impl Fn(&Incarnation) -> bool) {
         self.leaving.retain(is_live);
     }
 
@@ -169,11 +172,12 @@
     }
 }
 
-/// Holders have to renew within the time that takers leave them after an outage, so they try more
-/// often than other writers; there are no more of them than duties.
+/// Returns the settings of the lease appender. After an outage, holders have to renew before other
+/// nodes take their duties, so they retry more often than other writers. There are no more holders
+/// than duties.
 fn appender_settings(settings: &ControlSettings) -> AppenderSettings {
     let backoff = BackoffSettings {
-        cap_ms: SpanMs(settings.ttl_ms.0 / TRIES_PER_LEASE),
+        cap_ms: SpanMs(settings.ttl_ms.0 / ATTEMPTS_PER_LEASE),
         ..BackoffSettings::default()
     };
     AppenderSettings {
@@ -183,8 +187,8 @@
 }
 
 impl Control {
-    /// Asks where the leases stream ends, to begin a window before that: the stream holds a day
-    /// of renewals, of which only the last checkpoint and what follows it matter.
+    /// Requests the end of the leases stream, so that reading starts a window before it. The stream
+    /// holds a day of renewals, of which only the last checkpoint and the records after it matter.
     pub(super) fn find_leases_end(&mut self, cx: CX![]) {
         let ret = ret_to!([cx], on_leases_end() as (Result<ReadBatch, Error>));
         let stream = self.settings.leases_stream.clone();
@@ -193,9 +197,9 @@
 
     fn on_leases_end(&mut self, cx: CX![], answer: Option<Result<ReadBatch, Error>>) {
         let Some(Ok(batch)) = answer else {
-            let jitter_ms = self.random.random_range(0..=FIND_END_AGAIN_MS.0);
-            let again = fwd_to!([cx], find_leases_end_again() as (MonoMs));
-            let wait_ms = FIND_END_AGAIN_MS + SpanMs(jitter_ms);
+            let jitter_ms = self.random.random_range(0..=FIND_END_RETRY_MS.0);
+            let again = fwd_to!([cx], retry_find_leases_end() as (MonoMs));
+            let wait_ms = FIND_END_RETRY_MS + SpanMs(jitter_ms);
             self.timers.subscribe_in(cx, wait_ms, again);
             return;
         };
@@ -204,7 +208,7 @@
         self.follow_leases(cx, start);
     }
 
-    fn find_leases_end_again(&mut self, cx: CX![], _now_ms: MonoMs) {
+    fn retry_find_leases_end(&mut self, cx: CX![], _now_ms: MonoMs) {
         self.find_leases_end(cx);
     }
 
@@ -219,7 +223,7 @@
         let settings = TailSettings {
             interval_ms,
             limit_bytes: Bytes(256 * 1024),
-            backoff: reading_backoff(interval_ms),
+            backoff: read_backoff(interval_ms),
         };
         let seed = self.random.random();
         let events = fwd_to!([cx], on_leases_tail() as (TailEvent));
@@ -239,14 +243,14 @@
                 self.leases.at_end = self.leases.next >= end;
                 self.leases.read_ms = Some(now_ms);
                 self.leases.up_since_ms.get_or_insert(now_ms);
-                self.watch_free_duties(now_ms);
+                self.add_free_duties(now_ms);
                 self.finish_drain(now_ms);
             }
             TailEvent::Gap { to, .. } => {
                 self.leases.next = to;
                 self.leases.reducer.skip_to(to);
-                // Takers wait anew: who renewed within the gap is not known.
-                self.leases.watch = Watch::default();
+                // The wait before a take starts again, since the gap may contain renewals.
+                self.leases.availability = Availability::default();
             }
             TailEvent::Down(_) => {
                 self.leases.down = true;
@@ -298,7 +302,7 @@
                 }
             }
             LeaseOutcome::Released { duty } => {
-                self.leases.watch.on_free(duty, now_ms);
+                self.leases.availability.on_free(duty, now_ms);
                 let change = self.leases.holder.drop_duty(duty);
                 self.announce(change);
             }
@@ -308,7 +312,7 @@
     }
 
     fn on_touched(&mut self, op: OperationId, duty: Duty, now_ms: MonoMs) {
-        self.leases.watch.on_touched(duty, now_ms);
+        self.leases.availability.on_touched(duty, now_ms);
         let Some(grant) = self.leases.reducer.grant(duty) else {
             return;
         };
@@ -316,19 +320,19 @@
         self.announce(change);
     }
 
-    /// All leases may be different now. Whoever holds one may have renewed it just before, so
-    /// this node waits for each as after a renewal, but for those known to be free.
+    /// Applies a replacement of all leases. A holder may have renewed its lease just before, so
+    /// this node waits for each duty as after a renewal, except for those known to be free.
     fn on_replaced(&mut self, now_ms: MonoMs) {
-        self.leases.watch = Watch::default();
+        self.leases.availability = Availability::default();
         for duty in self.settings.duties() {
             let grant = self.leases.reducer.grant(duty);
             match grant.map(|grant| grant.holder) {
-                Some(None) => self.leases.watch.on_free(duty, now_ms),
-                Some(Some(_)) => self.leases.watch.on_touched(duty, now_ms),
+                Some(None) => self.leases.availability.on_free(duty, now_ms),
+                Some(Some(_)) => self.leases.availability.on_touched(duty, now_ms),
                 None if self.leases.reducer.touched(duty).is_some() => {
-                    self.leases.watch.on_touched(duty, now_ms);
+                    self.leases.availability.on_touched(duty, now_ms);
                 }
-                None => self.leases.watch.on_free(duty, now_ms),
+                None => self.leases.availability.on_free(duty, now_ms),
             }
             self.announce_holder(duty);
         }
@@ -336,29 +340,30 @@
         let changes = self
             .leases
             .holder
-            .compare(|duty| reducer.grant(duty).cloned());
+            .drop_revoked(|duty| reducer.grant(duty).cloned());
         for change in changes {
             self.announce(Some(change));
         }
     }
 
-    /// Duties that nobody ever held are free from when the end of the stream was first read.
-    fn watch_free_duties(&mut self, now_ms: MonoMs) {
+    /// Marks duties that no node ever held as free from the time at which the end of the stream was
+    /// first read.
+    fn add_free_duties(&mut self, now_ms: MonoMs) {
         if !self.leases.at_end || !self.leases.reducer.is_known() {
             return;
         }
         for duty in self.settings.duties() {
-            let known = self.leases.watch.free_at(duty, SpanMs(0)).is_some();
+            let known = self.leases.availability.free_at(duty, SpanMs(0)).is_some();
             if !known && self.leases.reducer.touched(duty).is_none() {
-                self.leases.watch.on_free(duty, now_ms);
+                self.leases.availability.on_free(duty, now_ms);
             }
         }
     }
 
     fn announce(&mut self, change: Option<Change>) {
         match change {
-            // A take that was under way when the node began to stop may still count; the duty is
-            // released at the next tick and acted on by nobody until then.
+            // A take that was in flight when the node began to stop may still count. The duty is
+            // released at the next tick, and no node acts on it until then.
             Some(Change::Held { .. }) if self.drained => (),
             Some(Change::Held { lease, until_ms }) => {
                 self.emit(ControlEvent::Held { lease, until_ms });
@@ -382,7 +387,7 @@
         }
     }
 
-    /// Hands a record to the appender; its fate is learned by reading.
+    /// Hands a record to the appender. Reading the stream shows its outcome.
     fn append_lease(&mut self, cx: CX![], record: &LeaseRecord) {
         let ret = ret_some_to!([cx], on_lease_appended() as (Result<Offset, Error>));
         call!([self.leases.appender], append(vec![encode(record)], ret));
@@ -391,18 +396,18 @@
     fn on_lease_appended(&mut self, _cx: CX![], answer: Result<Offset, Error>) {
         match answer {
             Ok(_) => self.leases.poll_soon(),
-            // Nothing was sent or taken; a renewal is due again as soon as the appender lets it.
+            // Nothing was appended. A renewal is due again as soon as the appender accepts it.
             Err(error) if error.verdict == Verdict::NotRun => self.leases.renewed_ms = None,
-            // Its fate is read, or shows in the next renewal's.
+            // Reading the stream shows the outcome of this record or of the next renewal.
             Err(_) => (),
         }
     }
 
-    /// Resets all leases where nobody is left who knows them.
+    /// Resets all leases if this node's state of them stays unknown.
     ///
-    /// After an outage longer than the log's retention, or once all nodes were replaced without a
-    /// checkpoint in reach, every reader would wait for ever. A reset is safe at any time, since
-    /// takers wait after it for as long as a lease lasts.
+    /// After an outage longer than the log's retention, or after all nodes were replaced and no
+    /// checkpoint is in their window, every reader would wait forever. A reset is safe at any time,
+    /// since nodes wait for the duration of a lease after it before they take a duty.
     fn tick_reset(&mut self, cx: CX![], now_ms: MonoMs) {
         if !self.leases.at_end || self.leases.reducer.is_known() {
             self.leases.unknown_since_ms = None;
--- a/crates/control/src/actor/mod.rs
+++ b/crates/control/src/actor/mod.rs
@@ -1,10 +1,11 @@
-//! The control actor of a node: follows both streams, publishes, holds leases, helps peers.
+//! The control actor of a node. It reads both streams, publishes configurations, holds leases and
+//! sends the configuration to peers.
 //!
 //! Terms: the *config side* and the *lease side* are its two halves, each with a tail, an
 //! appender and a reducer of its own stream.
 //!
-//! Invariants: the configuration in force only goes forward; a duty is announced as held only
-//! while its lease is valid on this node's clock.
+//! Invariants: the version of the configuration in force never decreases; a duty is announced as
+//! held only while its lease is valid on this node's clock.
 
 mod config_side;
 mod lease_side;
@@ -28,7 +29,8 @@
 use stakker::{ActorOwn, CX, Core, Fwd, Ret, actor, call, fwd_to, ret_nop};
 use std::rc::Rc;
 
-/// The time between two looks at what is due: lapses, renewals, takes, snapshots, timeouts.
+/// The time between two checks for expired leases, renewals, takes, snapshots and timeouts that
+/// are due.
 const TICK_MS: SpanMs = SpanMs(100);
 
 /// The control actor; see [`Control::spawn`].
@@ -51,7 +53,8 @@
 }
 
 impl Control {
-    /// Spawns the actor; it begins to read at once and tells what is agreed through `events`.
+    /// Spawns the actor. It starts to read at once and reports changes of the agreed state through
+    /// `events`.
     pub fn spawn(
         core: &mut Core,
         me: NodeIdentity,
@@ -108,11 +111,11 @@
         Some(control)
     }
 
-    /// Publishes `body` as the version behind `base`.
+    /// Publishes `body` as the version that follows `base`.
     ///
-    /// Answered once the record is read back: a publication that lost its append's answer is
-    /// found again by its operation id. An error with [`Verdict::MayHaveRun`] names that id; the
-    /// publication may still come into force.
+    /// Answers once the record is read back, so a publication whose append's answer was lost is
+    /// still recognized by its operation id. An error with [`Verdict::MayHaveRun`] names that id;
+    /// the publication may still come into force.
     pub fn publish(
         &mut self,
         cx: CX![],
@@ -123,67 +126,68 @@
         self.begin_publication(cx, base, body, ret);
     }
 
-    /// Answers a peer that asks for the configuration.
+    /// Answers a peer's request for the configuration. The text is included if this node has a
+    /// newer version than `have`.
     pub fn peer_config(&mut self, _cx: CX![], have: ConfigVersion, ret: Ret<PeerAnswer>) {
         let version = self.config.in_force_version();
         let body = (version > have).then(|| self.config.in_force_body());
         ret.ret(PeerAnswer::Config { version, body });
     }
 
-    /// The live nodes, by their cards, as membership knows them.
+    /// Replaces the cards of the live nodes, as reported by membership.
     pub fn nodes_changed(&mut self, cx: CX![], nodes: Vec<NodeCard>) {
         self.nodes = nodes;
         self.nodes
             .retain(|card| card.incarnation != self.me.incarnation);
         let nodes = &self.nodes;
         let is_live = |i: &Incarnation| nodes.iter().any(|card| card.incarnation == *i);
-        self.leases.forget_left(is_live);
+        self.leases.forget_stopped(is_live);
         self.raise_floor(cx);
     }
 
-    /// An engine is there, or what the list says of it changed.
+    /// Records an engine that appeared or whose entry in the platform's list changed.
     pub fn engine_updated(&mut self, _cx: CX![], entry: VmEntry, port: Rc<dyn EnginePort>) {
         call!([self.coordinator], engine_updated(entry, port));
     }
 
-    /// An engine leaves.
+    /// Records that an engine is leaving.
     pub fn engine_leaving(&mut self, _cx: CX![], name: UpstreamName) {
         call!([self.coordinator], engine_leaving(name));
     }
 
-    /// An engine is gone.
+    /// Removes an engine that is gone.
     pub fn engine_gone(&mut self, _cx: CX![], name: UpstreamName) {
         call!([self.coordinator], engine_gone(name));
     }
 
-    /// An incarnation is certainly dead: another answers at its address.
+    /// Records that an incarnation is certainly dead, since another one answers at its address.
     pub fn node_replaced(&mut self, _cx: CX![], dead: Incarnation) {
         call!([self.coordinator], node_replaced(dead));
     }
 
-    /// What the coordinator of this node knows and did.
+    /// Answers with the state and the counters of this node's coordinator.
     pub fn coordinator_dump(&mut self, _cx: CX![], ret: Ret<CoordinatorDump>) {
         call!([self.coordinator], dump(ret));
     }
 
-    /// Gives all duties back and takes none any more; answered when others may take them.
+    /// Releases all duties and takes no more. Answers when other nodes may take them.
     pub fn drain(&mut self, cx: CX![], ret: Ret<()>) {
         self.begin_drain(cx, ret);
     }
 
-    /// The configuration in force, as its operators wrote it, with its version.
+    /// Answers with the version in force and its text as the operators wrote it.
     pub fn in_force(&mut self, _cx: CX![], ret: Ret<(ConfigVersion, Arc<str>)>) {
         ret.ret((self.config.in_force_version(), self.config.in_force_body()));
     }
 
-    /// The versions that came into force on this node, oldest first.
+    /// Answers with the versions that came into force on this node, oldest first.
     pub fn history(&mut self, _cx: CX![], ret: Ret<Vec<VersionSeen>>) {
         ret.ret(self.config.history());
     }
 
-    /// What this node knows of what is agreed.
+    /// Answers with the state of control on this node.
     pub fn dump(&mut self, _cx: CX![], ret: Ret<ControlDump>) {
-        let until = |(lease, until_ms): (&Lease, MonoMs)| HeldDump {
+        let held = |(lease, until_ms): (&Lease, MonoMs)| HeldDump {
             lease: lease.clone(),
             until_ms,
         };
@@ -199,7 +203,7 @@
             skipped: self.config.skipped().plus(self.leases.skipped()),
             leases_known: self.leases.is_known(),
             leases: self.leases.all(),
-            held: self.leases.until().map(until).collect(),
+            held: self.leases.held().map(held).collect(),
             taking: self.leases.taking(),
             vacant: self.vacant(),
             log_down: self.config.is_down() || self.leases.is_down(),
@@ -221,7 +225,7 @@
         self.timers.subscribe_in(cx, TICK_MS, again);
     }
 
-    /// Tells an event to the node, and to the coordinator what concerns it.
+    /// Reports an event to the node, and to the coordinator if it concerns it.
     fn emit(&mut self, event: ControlEvent) {
         match &event {
             ControlEvent::Config { config, .. } => {
@@ -248,8 +252,9 @@
     }
 }
 
-/// The generator of one process. The incarnation goes in beside the seed: two nodes that were
-/// given one seed would draw the same operation ids, and take each other's records for their own.
+/// Returns the random generator of a process. It is seeded with the incarnation as well: two nodes
+/// with the same seed would otherwise draw the same operation ids and mistake each other's records
+/// for their own.
 fn generator(seed: u64, incarnation: Incarnation) -> ChaCha8Rng {
     let mut bytes = <ChaCha8Rng as SeedableRng>::Seed::default();
     bytes[..8].copy_from_slice(&seed.to_le_bytes());
--- a/crates/control/src/actor/peer_side.rs
+++ b/crates/control/src/actor/peer_side.rs
@@ -1,9 +1,10 @@
-//! Configuration from peers: for a node that starts while the log is down, or lags behind it.
+//! Configuration from peers, for a node that starts while the log is down or that lags behind the
+//! log.
 //!
-//! Terms: the *floor* is the highest version that any peer was seen to hold.
+//! Terms: the *floor* is the highest version that any peer reported.
 //!
-//! Invariants: no version below the floor comes into force; what a peer says can only move the
-//! node forward.
+//! Invariants: no version below the floor comes into force; a peer's answer can only raise the
+//! node's version.
 
 use super::Control;
 use crate::print::VersionSource;
@@ -12,23 +13,23 @@
 use rand::Rng;
 use stakker::{CX, ret_to};
 
-/// How long the log may take to bring a version that a peer holds, before that peer is asked.
-/// Without it each change would be fetched from peers by every node, next to reading it.
-const LOG_FIRST_MS: SpanMs = SpanMs(2_000);
+/// The time for which a node waits to read a version that a peer holds from the log before it
+/// requests it from a peer. Otherwise every node would fetch each change from peers as well.
+const LOG_GRACE_MS: SpanMs = SpanMs(2_000);
 
-/// The time between two asks, doubled by jitter at most.
-const ASK_MS: u64 = 500;
+/// The minimum time between two requests, which jitter doubles at most.
+const REQUEST_INTERVAL_MS: u64 = 500;
 
-/// How long an ask may stay unanswered before another peer is asked.
-const ANSWER_MS: SpanMs = SpanMs(3_000);
+/// The time after which a request without an answer is sent to another peer.
+const ANSWER_TIMEOUT_MS: SpanMs = SpanMs(3_000);
 
-/// What is known of the peers' configuration.
+/// The highest version of the peers and the state of requests to them.
 #[derive(Clone, Debug)]
 pub(super) struct PeerSide {
     floor: ConfigVersion,
     floor_at_ms: MonoMs,
-    asked_ms: Option<MonoMs>,
-    ask_at_ms: MonoMs,
+    requested_ms: Option<MonoMs>,
+    next_request_ms: MonoMs,
 }
 
 impl Default for PeerSide {
@@ -36,8 +37,8 @@
         Self {
             floor: ConfigVersion(0),
             floor_at_ms: MonoMs(0),
-            asked_ms: None,
-            ask_at_ms: MonoMs(0),
+            requested_ms: None,
+            next_request_ms: MonoMs(0),
         }
     }
 }
@@ -60,45 +61,45 @@
     }
 
     pub(super) fn tick_peers(&mut self, cx: CX![], now_ms: MonoMs) {
-        let lagging = self.config.reached() < self.peers.floor;
+        let lagging = self.config.highest_received() < self.peers.floor;
         let fresh = self.config.in_force_version() == ConfigVersion(0);
-        let log_had_its_time = now_ms >= self.peers.floor_at_ms + LOG_FIRST_MS;
-        if !lagging || !(fresh || self.config.is_down() || log_had_its_time) {
+        let grace_over = now_ms >= self.peers.floor_at_ms + LOG_GRACE_MS;
+        if !lagging || !(fresh || self.config.is_down() || grace_over) {
             return;
         }
-        let waiting = self.peers.asked_ms;
-        let waiting = waiting.is_some_and(|at_ms| now_ms.since(at_ms) < ANSWER_MS);
-        if waiting || now_ms < self.peers.ask_at_ms {
+        let waiting = self.peers.requested_ms;
+        let waiting = waiting.is_some_and(|at_ms| now_ms.since(at_ms) < ANSWER_TIMEOUT_MS);
+        if waiting || now_ms < self.peers.next_request_ms {
             return;
         }
-        self.ask_a_peer(cx, now_ms);
+        self.request_config(cx, now_ms);
     }
 
-    fn ask_a_peer(&mut self, cx: CX![], now_ms: MonoMs) {
+    fn request_config(&mut self, cx: CX![], now_ms: MonoMs) {
         let have = self.config.in_force_version();
         let newer: Vec<&NodeCard> = self.nodes.iter().filter(|c| c.config > have).collect();
         if newer.is_empty() {
             return;
         }
-        // A random one of them: after an outage all fresh nodes ask at once, and would all fall
-        // on the same peer.
+        // The peer is chosen at random: after an outage all new nodes send requests at once, which
+        // would otherwise all go to the same peer.
         let card = newer[self.random.random_range(0..newer.len())];
-        let jitter_ms = self.random.random_range(0..=ASK_MS);
-        self.peers.asked_ms = Some(now_ms);
-        self.peers.ask_at_ms = now_ms + SpanMs(ASK_MS + jitter_ms);
+        let jitter_ms = self.random.random_range(0..=REQUEST_INTERVAL_MS);
+        self.peers.requested_ms = Some(now_ms);
+        self.peers.next_request_ms = now_ms + SpanMs(REQUEST_INTERVAL_MS + jitter_ms);
         let ret = ret_to!([cx], on_peer_config() as (Result<PeerAnswer, Error>));
         let call = PeerCall::Config { have };
         self.ports.peers.call(cx, &card.address, call, ret);
     }
 
     fn on_peer_config(&mut self, cx: CX![], answer: Option<Result<PeerAnswer, Error>>) {
-        self.peers.asked_ms = None;
+        self.peers.requested_ms = None;
         let Some(Ok(PeerAnswer::Config { version, body })) = answer else {
             return;
         };
         if let Some(body) = body {
             self.peers.floor = self.peers.floor.max(version);
-            self.offer(cx, version, body, VersionSource::Peer);
+            self.accept_version(cx, version, body, VersionSource::Peer);
         }
     }
 }
--- a/crates/control/src/actor/publishing.rs
+++ b/crates/control/src/actor/publishing.rs
@@ -1,10 +1,10 @@
-//! Publications of this node until they are read back.
+//! The publications of this node until they are read back.
 //!
-//! Invariants: each is answered once; "not run" only where the append certainly did not and will
-//! not take effect.
+//! Invariants: each is answered once; the answer is "not run" only if the append certainly has not
+//! taken effect and will not.
 
 use super::Control;
-use super::config_side::{APPEND_BYTES, FAULTS_TOLD, part_bytes};
+use super::config_side::{MAX_APPEND_BYTES, MAX_REPORTED_FAULTS, part_bytes};
 use crate::Published;
 use crate::records::{ConfigRecord, Splice, Update, cut, encode};
 use crate::reduce::{ConfigOutcome, MAX_TEXT_BYTES};
@@ -13,10 +13,11 @@
 use stakker::{CX, Ret, call, ret_some_to};
 use std::collections::BTreeMap;
 
-/// Publications that may be unresolved at once on one node.
-const UNRESOLVED_LIMIT: usize = 64;
+/// The maximum number of unresolved publications on one node.
+const MAX_UNRESOLVED: usize = 64;
 
-/// How long operators wait before they try again what was refused for the log's sake.
+/// The time after which operators may retry a publication that failed because of the log or of
+/// [`MAX_UNRESOLVED`].
 const RETRY_AFTER_MS: SpanMs = SpanMs(2_000);
 
 struct Waiting {
@@ -24,7 +25,7 @@
     deadline_ms: MonoMs,
 }
 
-/// The publications that are not resolved, by operation.
+/// The unresolved publications by operation.
 #[derive(Default)]
 pub(super) struct Publications {
     waiting: BTreeMap<OperationId, Waiting>,
@@ -66,12 +67,12 @@
 
     fn prepare(&mut self, base: ConfigVersion, body: &str) -> Result<Prepared, Error> {
         bluebell_config::parse(body).map_err(|faults| invalid(&faults))?;
-        // Versions only go up, so a base below one that was ever seen can't win any more.
+        // Versions only increase, so a base below any known version can't win any more.
         let current = self.config.in_force_version().max(self.peers.floor());
         if base < current {
             return Ok(Prepared::Conflict { current });
         }
-        if self.config.publications.len() >= UNRESOLVED_LIMIT {
+        if self.config.publications.len() >= MAX_UNRESOLVED {
             let error = Error::not_run(ErrorKind::Overloaded, "too many publications at once");
             return Err(error.retry_after(RETRY_AFTER_MS));
         }
@@ -83,14 +84,15 @@
         Ok(Prepared::Records { op, records })
     }
 
-    /// The records of an update to `body`; none where they don't fit the log's limits.
+    /// Returns the records of an update to `body`; `None` if they exceed the log's limits.
     fn update_records(
         &self,
         op: OperationId,
         base: ConfigVersion,
         body: &str,
     ) -> Option<Vec<Arc<str>>> {
-        // A node whose log lags behind the base does not know its text, and writes all of it.
+        // A node that has not read the log up to the base does not know the base's text, so it
+        // writes the whole text.
         let known = self.config.reducer.known();
         let (splice, middle) = match known.filter(|known| known.version == base) {
             Some(known) => Splice::between(&known.body, body),
@@ -111,11 +113,11 @@
         let size = |record: &Arc<str>| Bytes(record.len() as u64);
         let oversized = records.iter().any(|record| size(record) > record_bytes);
         let append_bytes: Bytes = records.iter().map(size).sum();
-        (!oversized && append_bytes <= APPEND_BYTES).then_some(records)
+        (!oversized && append_bytes <= MAX_APPEND_BYTES).then_some(records)
     }
 
-    /// An append that certainly failed is answered; one whose answer was lost stays unresolved
-    /// until its record is read, or its time is over.
+    /// Answers a publication whose append certainly failed. One whose append's answer was lost
+    /// stays unresolved until its record is read or its timeout expires.
     fn on_publication_appended(
         &mut self,
         _cx: CX![],
@@ -134,10 +136,10 @@
         }
     }
 
-    /// Answers the publications whose fate was read.
+    /// Answers the publications whose outcome was read.
     ///
-    /// The first outcome of an operation is its fate: where an append took effect twice, the
-    /// second copy only conflicts with the first.
+    /// The first outcome of an operation counts: if an append took effect twice, the second copy
+    /// only conflicts with the first.
     pub(super) fn settle_publications(&mut self) {
         for outcome in self.config.take_outcomes() {
             match outcome {
@@ -171,31 +173,34 @@
     }
 }
 
-/// What an operator's publication comes to before anything is sent.
+/// The result of preparing an operator's publication before anything is sent.
 enum Prepared {
-    /// It can be appended.
+    /// The publication can be appended.
     Records {
         /// The publication.
         op: OperationId,
-        /// Its records, for one append.
+        /// The records of the publication, for one append.
         records: Vec<Arc<str>>,
     },
-    /// It can't win any more.
+    /// The publication can't win any more.
     Conflict {
         /// The version in force.
         current: ConfigVersion,
     },
 }
 
-/// The refusal of a text that the check finds faults in, with the first of them.
+/// Returns the error for a text that the check finds faults in, with the first of the faults.
 fn invalid(faults: &[Fault]) -> Error {
-    let told = faults.iter().take(FAULTS_TOLD).map(ToString::to_string);
-    let told: Vec<String> = told.collect();
-    let more = match faults.len().saturating_sub(FAULTS_TOLD) {
+    let reported = faults
+        .iter()
+        .take(MAX_REPORTED_FAULTS)
+        .map(ToString::to_string);
+    let reported: Vec<String> = reported.collect();
+    let more = match faults.len().saturating_sub(MAX_REPORTED_FAULTS) {
         0 => String::new(),
         more => format!("; and {more} more"),
     };
-    Error::not_run(ErrorKind::Invalid, format!("{}{more}", told.join("; ")))
+    Error::not_run(ErrorKind::Invalid, format!("{}{more}", reported.join("; ")))
 }
 
 fn too_large() -> Error {
--- a/crates/control/src/leases/holder.rs
+++ b/crates/control/src/leases/holder.rs
@@ -1,8 +1,8 @@
-//! The duties this node holds, and until when.
+//! The duties that this node holds and the end of each lease.
 //!
-//! Invariants: a duty is valid only after its take or renewal was read back as having counted;
-//! its validity is counted from before that record was handed in to be appended; a duty given up
-//! is not held again under the same fencing number.
+//! Invariants: a lease is valid only after its take or renewal was read back and counted; its
+//! validity starts before that record was handed to the appender; a duty that this node gave up is
+//! not held again under the same fencing number.
 
 use crate::records::HeldRecord;
 use crate::reduce::Grant;
@@ -10,21 +10,21 @@
 use bluebell_base::prelude::*;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Own records that may be on their way at once; older ones are forgotten, which only shortens
-/// validity.
-const SENT_KEPT: usize = 256;
+/// The maximum number of own takes and renewals that are remembered until they are read back.
+/// Older ones are forgotten, which only shortens the validity of a lease.
+const MAX_SENT_RECORDS: usize = 256;
 
-/// A change of what this node holds.
+/// A change of the duties that this node holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// It is held until the instant.
+    /// The node holds the duty until `until_ms`.
     Held {
         /// The lease.
         lease: Lease,
-        /// When it ends.
+        /// The end of the lease on this node's clock.
         until_ms: MonoMs,
     },
-    /// It is held no more.
+    /// The node no longer holds the duty.
     Lost(Duty),
 }
 
@@ -35,7 +35,7 @@
     valid: bool,
 }
 
-/// The holder's side of the leases of one node.
+/// The leases of one node as their holder.
 #[derive(Clone, Debug)]
 pub struct Holder {
     me: Incarnation,
@@ -47,7 +47,8 @@
 }
 
 impl Holder {
-    /// A node that holds nothing; `valid_ms` is the lease less the margin.
+    /// Returns the state of a node that holds nothing. `valid_ms` is the duration of a lease less
+    /// the margin.
     pub fn new(me: Incarnation, valid_ms: SpanMs) -> Self {
         Self {
             me,
@@ -59,18 +60,19 @@
         }
     }
 
-    /// Notes that a take or renewal is about to be sent; to be called before the hand-in.
-    pub fn sending(&mut self, op: OperationId, now_ms: MonoMs) {
+    /// Records that a take or renewal is about to be sent. The caller calls this before it hands
+    /// the record to the appender.
+    pub fn on_send(&mut self, op: OperationId, now_ms: MonoMs) {
         self.sent.insert(op, now_ms);
         self.sent_order.push_back(op);
-        if self.sent_order.len() > SENT_KEPT
+        if self.sent_order.len() > MAX_SENT_RECORDS
             && let Some(oldest) = self.sent_order.pop_front()
         {
             self.sent.remove(&oldest);
         }
     }
 
-    /// A take or renewal of `duty` was read and counted.
+    /// Records that a take or renewal of `duty` was read and counted.
     pub fn on_touched(
         &mut self,
         op: OperationId,
@@ -84,8 +86,8 @@
         if self.is_given_up(duty, grant.fencing) {
             return None;
         }
-        // A record that this process does not remember sending gives no validity: it may have
-        // waited in the log service for any time.
+        // A record that this process does not remember sending gives no validity, since it may
+        // have waited in the log service for any time.
         let sent_ms = self.sent.get(&op).copied();
         let until_ms = sent_ms.map_or(MonoMs(0), |sent_ms| sent_ms + self.valid_ms);
         let lease = Lease {
@@ -106,17 +108,19 @@
         valid.then_some(Change::Held { lease, until_ms })
     }
 
-    /// Whether this node decided to give the duty back under that fencing number.
+    /// Returns true if this node decided to release the duty under that fencing number or a later
+    /// one.
     ///
-    /// A renewal that was under way then may be read before the release is, which may still be on
-    /// its way for any time. Once that lands, others take the duty at once; this node must not
-    /// have gone back to holding it.
+    /// A renewal that was in flight at that time may be read before the release, whose append may
+    /// take any time. Once the release is in the log, another node takes the duty at once, so this
+    /// node must not hold it again.
     fn is_given_up(&self, duty: Duty, fencing: Fencing) -> bool {
         let given_up = self.given_up.get(&duty);
         given_up.is_some_and(|given_up| fencing <= *given_up)
     }
 
-    /// This node is about to release the duty: it is never held again under that fencing number.
+    /// Records that this node is about to release the duty. The node never holds it again under
+    /// that fencing number.
     pub fn give_up(&mut self, duty: Duty) -> Option<Change> {
         if let Some(held) = self.held.get(&duty) {
             self.given_up.insert(duty, held.lease.fencing);
@@ -124,14 +128,14 @@
         self.drop_duty(duty)
     }
 
-    /// The duty was released, or its lease is void.
+    /// Removes the duty after it was released or its lease became void.
     pub fn drop_duty(&mut self, duty: Duty) -> Option<Change> {
         let held = self.held.remove(&duty)?;
         held.valid.then_some(Change::Lost(duty))
     }
 
-    /// Drops what is no longer this node's by `grant_of`.
-    pub fn compare(&mut self, grant_of: impl Fn(Duty) -> Option<Grant>) -> Vec<Change> {
+    /// Removes the duties that are no longer granted to this node according to `grant_of`.
+    pub fn drop_revoked(&mut self, grant_of: impl Fn(Duty) -> Option<Grant>) -> Vec<Change> {
         let mine = |held: &HeldDuty| {
             grant_of(held.lease.duty).is_some_and(|grant| {
                 grant.holder == Some(held.lease.holder) && grant.fencing == held.lease.fencing
@@ -148,8 +152,8 @@
             .collect()
     }
 
-    /// Ends the leases whose time is over; they stay renewable until somebody takes them.
-    pub fn lapse(&mut self, now_ms: MonoMs) -> Vec<Change> {
+    /// Ends the leases that have expired. They stay renewable until another node takes the duty.
+    pub fn expire(&mut self, now_ms: MonoMs) -> Vec<Change> {
         let mut lost = Vec::new();
         for (duty, held) in &mut self.held {
             if held.valid && now_ms >= held.until_ms {
@@ -160,13 +164,14 @@
         lost
     }
 
-    /// The lease, if it is valid at this instant.
+    /// Returns the lease if it is valid at `now_ms`.
     pub fn valid(&self, duty: Duty, now_ms: MonoMs) -> Option<&Lease> {
         let held = self.held.get(&duty)?;
         (held.valid && now_ms < held.until_ms).then_some(&held.lease)
     }
 
-    /// All that may be renewed, also what lapsed on this clock but was taken by nobody.
+    /// Returns all leases that may be renewed, including those that expired on this clock and that
+    /// no other node took.
     pub fn renewable(&self) -> Vec<HeldRecord> {
         let records = self.held.values().map(|held| HeldRecord {
             duty: held.lease.duty,
@@ -175,8 +180,8 @@
         records.collect()
     }
 
-    /// The duties held with the end of each, for the state dump.
-    pub fn until(&self) -> impl Iterator<Item = (&Lease, MonoMs)> {
+    /// Returns the leases with the end of each, for the state dump.
+    pub fn leases(&self) -> impl Iterator<Item = (&Lease, MonoMs)> {
         self.held.values().map(|held| (&held.lease, held.until_ms))
     }
 }
--- a/crates/control/src/leases/spread.rs
+++ b/crates/control/src/leases/spread.rs
@@ -1,38 +1,50 @@
-//! Who takes which duty first, so that the nodes share the duties without talking about it.
+//! The order in which nodes try to take a free duty. It spreads the duties over the nodes without
+//! communication.
 //!
-//! Each node orders all live nodes alike: by the number of duties they hold, which the log tells,
-//! and among equals by rendezvous hashing of duty and node, so that a node that comes or goes
-//! moves few duties. The place in that order only sets a delay; should two nodes disagree on who
-//! lives, both may try, and the log decides.
+//! All nodes rank the live nodes alike: by the number of duties that they hold according to the
+//! log, and among equals by rendezvous hashing of duty and node, so that few duties move if a node
+//! joins or leaves. The rank only sets a delay. If two nodes disagree on which nodes are live, both
+//! may try to take the duty, and the log decides.
 
 use crate::Duty;
 use bluebell_base::prelude::*;
 
-/// The delay each place adds; longer than an append and a read take, so that the next in line
-/// usually sees the first one's take before it tries.
-const PLACE_MS: u64 = 1_500;
+/// The delay per rank. It is longer than an append and a read take, so that the next node usually
+/// sees the take of the first one before it tries.
+const RANK_DELAY_MS: u64 = 1_500;
 
-/// The last place that still adds to the delay.
-const PLACES: usize = 8;
+/// The highest rank that still adds to the delay.
+const MAX_DELAYED_RANK: usize = 8;
 
-/// A live node with what it holds.
+/// A live node that may take a duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Taker {
+pub struct Candidate {
     /// The node.
     pub node: Incarnation,
-    /// The number of duties it holds or is about to hold.
+    /// The number of duties that the node holds or is taking.
     pub held: usize,
 }
 
-/// How long `me`, one of `takers`, holds back from taking a free duty.
-pub fn take_delay_ms(duty: Duty, me: Incarnation, takers: &[Taker]) -> SpanMs {
-    let key = |taker: &Taker| (taker.held, std::cmp::Reverse(weight(duty, taker.node)));
-    let own = takers.iter().find(|taker| taker.node == me).map(key);
-    let before = takers.iter().filter(|taker| Some(key(taker)) < own);
-    SpanMs(before.count().min(PLACES) as u64 * PLACE_MS)
+/// Returns how long `me`, one of `candidates`, waits before it takes a free duty.
+pub fn take_delay_ms(duty: Duty, me: Incarnation, candidates: &[Candidate]) -> SpanMs {
+    let key = |candidate: &Candidate| {
+        (
+            candidate.held,
+            std::cmp::Reverse(weight(duty, candidate.node)),
+        )
+    };
+    let own = candidates
+        .iter()
+        .find(|candidate| candidate.node == me)
+        .map(key);
+    let before = candidates
+        .iter()
+        .filter(|candidate| Some(key(candidate)) < own);
+    SpanMs(before.count().min(MAX_DELAYED_RANK) as u64 * RANK_DELAY_MS)
 }
 
-/// How well the duty suits the node; the node with the largest weight is its first choice.
+/// Returns the rendezvous weight of the node for the duty. The node with the largest weight is the
+/// first choice.
 pub fn weight(duty: Duty, node: Incarnation) -> u64 {
     let (kind, index) = match duty {
         Duty::Shard(shard) => (1, u64::from(shard.0)),
@@ -43,7 +55,8 @@
     mix(mix(node.0 ^ (kind << 56)) ^ index)
 }
 
-/// The finalizer of splitmix64: every input bit changes each output bit with even odds.
+/// Applies the finalizer of splitmix64: each input bit changes each output bit with a probability
+/// of about one half.
 fn mix(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/control/src/leases/watch.rs
+++ b/crates/control/src/leases/watch.rs
@@ -1,12 +1,12 @@
-//! When each duty may be taken, as far as this node has read.
+//! The time from which each duty may be taken, according to the records that this node has read.
 
 use crate::Duty;
 use bluebell_base::prelude::*;
 use std::collections::BTreeMap;
 
-/// When the leases were last touched, on this node's clock.
+/// The time at which the last record that touched each duty was read, on this node's clock.
 #[derive(Clone, Debug, Default)]
-pub struct Watch {
+pub struct Availability {
     touches: BTreeMap<Duty, Touch>,
 }
 
@@ -16,8 +16,8 @@
     free: bool,
 }
 
-impl Watch {
-    /// A grant or renewal of the duty was read now.
+impl Availability {
+    /// Records that a grant or renewal of the duty was read at `now_ms`.
     pub fn on_touched(&mut self, duty: Duty, now_ms: MonoMs) {
         let touch = Touch {
             read_ms: now_ms,
@@ -26,7 +26,7 @@
         self.touches.insert(duty, touch);
     }
 
-    /// The duty is known to have no holder who could still believe in a lease.
+    /// Records that no node can still have a valid lease of the duty.
     pub fn on_free(&mut self, duty: Duty, now_ms: MonoMs) {
         let touch = Touch {
             read_ms: now_ms,
@@ -35,10 +35,11 @@
         self.touches.insert(duty, touch);
     }
 
-    /// From when on the duty may be taken; none where nothing is known of it.
+    /// Returns the time from which the duty may be taken; `None` if no record that touched it was
+    /// read.
     ///
-    /// The last holder counts its lease from before its append was sent, which was before this
-    /// node read it, so waiting from the reading is never too short.
+    /// The last holder's lease starts before its append was sent, and this node read the record
+    /// later. So a wait that starts when the record is read is never too short.
     pub fn free_at(&self, duty: Duty, wait_ms: SpanMs) -> Option<MonoMs> {
         let touch = self.touches.get(&duty)?;
         if touch.free {
--- a/crates/control/src/settings/mod.rs
+++ b/crates/control/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! What the control duties of a node are set up with.
+//! The settings, the identity and the ports of a node's control actor.
 
 use crate::Duty;
 use bluebell_base::prelude::*;
@@ -6,27 +6,27 @@
 use bluebell_platform::{LogPort, WeightPort};
 use std::rc::Rc;
 
-/// Who this node is, as its leases and its peers know it.
+/// The identity of this node in its leases and towards its peers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeIdentity {
-    /// This run of its process.
+    /// The incarnation of the node's process.
     pub incarnation: Incarnation,
-    /// Where its peer interface listens.
+    /// The address of the node's peer interface.
     pub address: Address,
 }
 
-/// What control reaches the outside through.
+/// The ports through which control reaches the platform and the other nodes.
 #[derive(Clone)]
 pub struct ControlPorts {
     /// The platform's log.
     pub log: Rc<dyn LogPort>,
-    /// The other nodes.
+    /// The calls to other nodes.
     pub peers: Rc<dyn PeerPort>,
-    /// The weight store, for the pace of loading.
+    /// The weight store, whose limits set the rate of model loads.
     pub weights: Rc<dyn WeightPort>,
 }
 
-/// The limits and intervals of control; the same on all nodes of a fleet.
+/// The limits and intervals of control. They are the same on all nodes of a fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlSettings {
     /// The stream of configuration records.
@@ -37,26 +37,27 @@
     pub shards: u32,
     /// The number of groups of upstreams, each with a coordinator.
     pub coordinators: u32,
-    /// How long a lease lasts from before its append was sent.
+    /// The duration of a lease. It starts before the append was sent.
     pub ttl_ms: SpanMs,
-    /// What is taken off a lease at its holder and added at its takers, for clocks that run at
-    /// different rates and for handlers that take a while.
+    /// The margin by which a holder ends its lease early and other nodes wait longer before they
+    /// take the duty. It covers clocks that run at different rates and slow handlers.
     pub margin_ms: SpanMs,
     /// The time between reads of the config stream.
     pub config_tail_ms: SpanMs,
     /// The time between reads of the leases stream.
     pub leases_tail_ms: SpanMs,
-    /// How long the log keeps records.
+    /// The time for which the log keeps records.
     pub retention_ms: SpanMs,
-    /// The largest record the log takes.
+    /// The maximum size of a record that the log accepts.
     pub record_bytes: Bytes,
-    /// How long a publication may stay unresolved.
+    /// The time after which an unresolved publication is answered with an error.
     pub publish_timeout_ms: SpanMs,
     /// The time between checkpoints of the leases.
     pub checkpoint_ms: SpanMs,
-    /// How many records at the end of the leases stream a fresh node reads.
+    /// The number of records at the end of the leases stream that a new node reads.
     pub leases_window: u64,
-    /// How long a fresh node waits before it takes duties, to learn who else is there.
+    /// The time for which a new node waits before it takes duties, so that it learns of the other
+    /// nodes.
     pub settle_ms: SpanMs,
 }
 
@@ -81,38 +82,38 @@
     }
 }
 
-/// What one duty takes in a checkpoint or renewal at most, with a long address.
-const DUTY_BYTES: u64 = 200;
+/// The maximum size of one duty in a checkpoint or renewal, with a long address.
+const MAX_DUTY_BYTES: u64 = 200;
 
-/// How often within a lease the leases stream has to be read at least.
-const READS_PER_LEASE: u64 = 4;
+/// The minimum number of reads of the leases stream within a lease.
+const MIN_READS_PER_LEASE: u64 = 4;
 
-/// How many times the margin a lease has to last at least.
-const MARGINS_PER_LEASE: u64 = 4;
+/// The minimum duration of a lease, in margins.
+const MIN_MARGINS_PER_LEASE: u64 = 4;
 
 impl ControlSettings {
-    /// What can't work, in words; empty where all is well.
+    /// Returns a description of each setting that can't work; empty if all are valid.
     pub fn faults(&self) -> Vec<Arc<str>> {
         let duties = self.duties().len() as u64;
         let checks = [
             (
-                // An oversized checkpoint would be refused by every reader, and each fresh node
-                // would void all leases.
-                duties * DUTY_BYTES > self.record_bytes.0,
+                // Every reader would refuse an oversized checkpoint, and each new node would void
+                // all leases.
+                duties * MAX_DUTY_BYTES > self.record_bytes.0,
                 format!(
                     "{duties} duties do not fit a record of {}",
                     self.record_bytes
                 ),
             ),
             (
-                self.margin_ms.0 * MARGINS_PER_LEASE > self.ttl_ms.0,
+                self.margin_ms.0 * MIN_MARGINS_PER_LEASE > self.ttl_ms.0,
                 format!(
                     "a lease of {} is too short for a margin of {}",
                     self.ttl_ms, self.margin_ms
                 ),
             ),
             (
-                self.leases_tail_ms.0 * READS_PER_LEASE > self.ttl_ms.0,
+                self.leases_tail_ms.0 * MIN_READS_PER_LEASE > self.ttl_ms.0,
                 format!(
                     "a lease of {} is too short for reading each {}",
                     self.ttl_ms, self.leases_tail_ms
@@ -134,7 +135,7 @@
         wrong.map(|(_, text)| text.into()).collect()
     }
 
-    /// All duties of the fleet.
+    /// Returns all duties of the fleet.
     pub fn duties(&self) -> Vec<Duty> {
         let shards = (0..self.shards).map(|i| Duty::Shard(ShardId(i)));
         let coordinators = (0..self.coordinators).map(Duty::Coordinator);
--- a/crates/control/tests/leases.rs
+++ b/crates/control/tests/leases.rs
@@ -96,7 +96,7 @@
     };
     let (take, renewal, again) = (OperationId(1), OperationId(2), OperationId(3));
     for op in [take, renewal, again] {
-        holder.sending(op, MonoMs(0));
+        holder.on_send(op, MonoMs(0));
     }
     assert!(
         holder
@@ -133,7 +133,7 @@
         None
     );
     assert_eq!(holder.valid(duty, now_ms), None);
-    holder.sending(OperationId(2), now_ms);
+    holder.on_send(OperationId(2), now_ms);
     assert!(
         holder
             .on_touched(OperationId(2), duty, &grant, now_ms)
