--- a/crates/control/src/coordinator/engines.rs
+++ b/crates/control/src/coordinator/engines.rs
@@ -1,4 +1,4 @@
-//! The engines this node knows, with what was read back from each.
+//! The engines that this node knows, with the state read back from each.
 
 use bluebell_base::prelude::*;
 use bluebell_platform::{VmEntry, VmState};
@@ -10,16 +10,16 @@
 /// An engine's state as read back.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
-    /// When the answer came.
+    /// The time at which the answer arrived.
     pub read_ms: MonoMs,
-    /// Its role.
+    /// The role of the engine.
     pub role: Role,
-    /// What it serves.
+    /// The models and versions that it serves.
     pub models: Vec<LoadedModel>,
 }
 
-/// One engine.
-pub struct EngineSeat {
+/// An engine that this node knows.
+pub struct KnownEngine {
     entry: VmEntry,
     port: Rc<dyn EnginePort>,
     group: u32,
@@ -27,43 +27,43 @@
     fenced: bool,
 }
 
-impl EngineSeat {
-    /// Its name as an upstream.
+impl KnownEngine {
+    /// Returns the engine's name as an upstream.
     pub fn name(&self) -> UpstreamName {
         UpstreamName(self.entry.name.0.clone())
     }
 
-    /// Its deployment.
+    /// Returns the engine's deployment.
     pub fn deployment(&self) -> &DeploymentName {
         &self.entry.deployment
     }
 
-    /// Its failure domain.
+    /// Returns the engine's failure domain.
     pub fn domain(&self) -> &DomainName {
         &self.entry.domain
     }
 
-    /// Whether it is expected to stay.
+    /// Returns true if the platform lists the engine as live.
     pub fn is_live(&self) -> bool {
         self.entry.state == VmState::Live
     }
 
-    /// The group whose coordinator orders it.
+    /// Returns the group whose coordinator sends orders to the engine.
     pub fn group(&self) -> u32 {
         self.group
     }
 
-    /// What was read back under the current duty.
+    /// Returns the state that was read back under the current duty, if any.
     pub fn view(&self) -> Option<&View> {
         self.view.as_ref()
     }
 
-    /// Whether it was given an order under the current fencing number.
+    /// Returns true if the engine accepted an order under the current fencing number.
     pub fn is_fenced(&self) -> bool {
         self.fenced
     }
 
-    /// The way to it.
+    /// Returns the port for calls to the engine.
     pub fn port(&self) -> Rc<dyn EnginePort> {
         self.port.clone()
     }
@@ -72,54 +72,58 @@
 /// All engines, by name.
 pub(super) struct Engines {
     groups: u32,
-    seats: BTreeMap<UpstreamName, EngineSeat>,
+    by_name: BTreeMap<UpstreamName, KnownEngine>,
 }
 
 impl Engines {
     pub(super) fn new(groups: u32) -> Self {
         Self {
             groups: groups.max(1),
-            seats: BTreeMap::new(),
+            by_name: BTreeMap::new(),
         }
     }
 
     pub(super) fn put(&mut self, entry: VmEntry, port: Rc<dyn EnginePort>) {
         let name = UpstreamName(entry.name.0.clone());
         let group = group_of(&entry.deployment, self.groups);
-        let before = self.seats.remove(&name);
-        // Another address is another process: nothing read before is known of it.
-        let same = before.filter(|seat| seat.entry.address == entry.address);
-        let (view, fenced) = same.map_or((None, false), |seat| (seat.view, seat.fenced));
-        let seat = EngineSeat {
+        let before = self.by_name.remove(&name);
+        // Another address is another process, so the state that was read before does not apply.
+        let same = before.filter(|engine| engine.entry.address == entry.address);
+        let (view, fenced) = same.map_or((None, false), |engine| (engine.view, engine.fenced));
+        let engine = KnownEngine {
             entry,
             port,
             group,
             view,
             fenced,
         };
-        self.seats.insert(name, seat);
+        self.by_name.insert(name, engine);
     }
 
     pub(super) fn set_leaving(&mut self, name: &UpstreamName) {
-        if let Some(seat) = self.seats.get_mut(name) {
-            seat.entry.state = VmState::Leaving;
+        if let Some(engine) = self.by_name.get_mut(name) {
+            engine.entry.state = VmState::Leaving;
         }
     }
 
     pub(super) fn remove(&mut self, name: &UpstreamName) {
-        self.seats.remove(name);
+        self.by_name.remove(name);
     }
 
     pub(super) fn forget_views(&mut self, group: u32) {
-        for seat in self.seats.values_mut().filter(|seat| seat.group == group) {
-            seat.view = None;
-            seat.fenced = false;
+        for engine in self
+            .by_name
+            .values_mut()
+            .filter(|engine| engine.group == group)
+        {
+            engine.view = None;
+            engine.fenced = false;
         }
     }
 
     pub(super) fn on_state(&mut self, name: &UpstreamName, answer: OrderAnswer, now_ms: MonoMs) {
-        if let Some(seat) = self.seats.get_mut(name) {
-            seat.view = Some(View {
+        if let Some(engine) = self.by_name.get_mut(name) {
+            engine.view = Some(View {
                 read_ms: now_ms,
                 role: answer.role,
                 models: answer.models,
@@ -128,26 +132,26 @@
     }
 
     pub(super) fn set_fenced(&mut self, name: &UpstreamName) {
-        if let Some(seat) = self.seats.get_mut(name) {
-            seat.fenced = true;
+        if let Some(engine) = self.by_name.get_mut(name) {
+            engine.fenced = true;
         }
     }
 
-    pub(super) fn get(&self, name: &UpstreamName) -> Option<&EngineSeat> {
-        self.seats.get(name)
+    pub(super) fn get(&self, name: &UpstreamName) -> Option<&KnownEngine> {
+        self.by_name.get(name)
     }
 
-    pub(super) fn iter(&self) -> impl Iterator<Item = &EngineSeat> {
-        self.seats.values()
+    pub(super) fn iter(&self) -> impl Iterator<Item = &KnownEngine> {
+        self.by_name.values()
     }
 
     pub(super) fn len(&self) -> usize {
-        self.seats.len()
+        self.by_name.len()
     }
 }
 
-/// The group of a deployment's engines; the same on every node, so by FNV-1a and not by a hasher
-/// that may differ between builds.
+/// Returns the group of a deployment's engines. It uses FNV-1a, since the result must be the same
+/// on every node and a standard hasher may differ between builds.
 pub fn group_of(deployment: &DeploymentName, groups: u32) -> u32 {
     let fold = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     let hash = deployment.0.bytes().fold(0xcbf2_9ce4_8422_2325, fold);
--- a/crates/control/src/coordinator/orders.rs
+++ b/crates/control/src/coordinator/orders.rs
@@ -1,55 +1,57 @@
-//! Giving orders: fencing engines at a takeover, loading versions one after the other.
+//! Orders to engines: fencing at a takeover, and loading versions one engine after the other.
 
 use super::plan::{Load, Rollout};
-use super::{Coordinator, EngineSeat};
+use super::{Coordinator, KnownEngine};
 use bluebell_base::prelude::*;
 use bluebell_platform::WeightInfo;
 use bluebell_upstreams::{EngineOrder, OrderAnswer};
 use stakker::{CX, ret_some_to, ret_to};
 
-/// How long an order may be under way; the engines' clients give up by then.
+/// The maximum duration of an order. The engines' clients give up by then.
 pub(super) const ORDER_TIMEOUT_MS: SpanMs = SpanMs::from_secs(10);
 
-/// How much longer than by the weight store's rate a load may take.
-const LOAD_SLACK: f64 = 4.0;
+/// The timeout of a load, as a multiple of its duration at the weight store's rate.
+const LOAD_TIMEOUT_FACTOR: f64 = 4.0;
 
-/// What a load may take besides.
-const LOAD_EXTRA_MS: SpanMs = SpanMs::from_secs(60);
+/// The constant part of the timeout of a load.
+const LOAD_TIMEOUT_EXTRA_MS: SpanMs = SpanMs::from_secs(60);
 
-/// The time between two looks at an engine that is loading.
-const LOOK_MS: SpanMs = SpanMs(2_000);
+/// The time between two polls of an engine that is loading.
+const LOAD_POLL_INTERVAL_MS: SpanMs = SpanMs(2_000);
 
-/// The time until the weight store is asked again after it failed or did not know the version.
-const ASK_AGAIN_MS: SpanMs = SpanMs::from_secs(10);
+/// The time between two requests to the weight store after it failed or did not know the version.
+const WEIGHTS_RETRY_MS: SpanMs = SpanMs::from_secs(10);
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Waiting for the weight store's word on the version.
-    Asking { load: Load, since_ms: MonoMs },
-    /// Ordered; the state is read back until the version shows.
+    /// The weight store was requested to describe the version.
+    WeightLookup { load: Load, since_ms: MonoMs },
+    /// The order was sent. The engine's state is polled until it shows the version.
     Loading {
         load: Load,
         until_ms: MonoMs,
-        looked_ms: MonoMs,
+        polled_ms: MonoMs,
     },
 }
 
-/// The orders under way.
+/// The orders in flight.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OrderSide {
     step: Option<Step>,
     rollout: Rollout,
     next_load_ms: Option<MonoMs>,
-    /// Whether an order that shows the fencing number is under way.
-    showing: bool,
-    /// The engine that was last shown the fencing number.
-    shown_last: Option<UpstreamName>,
+    /// True while an order that sends the fencing number is in flight.
+    fencing_in_flight: bool,
+    /// The engine that the fencing number was last sent to.
+    last_fenced: Option<UpstreamName>,
 }
 
 impl OrderSide {
     pub(super) fn loading(&self) -> Option<UpstreamName> {
         match self.step.as_ref()? {
-            Step::Asking { load, .. } | Step::Loading { load, .. } => Some(load.engine.clone()),
+            Step::WeightLookup { load, .. } | Step::Loading { load, .. } => {
+                Some(load.engine.clone())
+            }
         }
     }
 
@@ -65,48 +67,49 @@
 }
 
 impl Coordinator {
-    /// Whether engines of the seat's deployment may be given orders by now.
+    /// Returns true if orders may be sent to the engine now.
     ///
-    /// An engine that does not check fencing numbers obeys a late order of the former coordinator:
-    /// one that it sent at the end of its lease, or after a pause between its check and the
-    /// sending. Before a first order to such an engine the lease time and an order's time have to
-    /// pass, so that what is read back afterwards is the outcome of those.
-    fn may_order(&self, seat: &EngineSeat) -> bool {
-        let Some(duty) = self.duties.get(&seat.group()) else {
+    /// An engine that does not check fencing numbers obeys a late order of the former coordinator,
+    /// which that one sent at the end of its lease or after a pause between its check and the
+    /// sending. Before the first order to such an engine, the duration of a lease and the timeout
+    /// of an order have to pass. The state that is read back afterwards includes the effect of late
+    /// orders.
+    fn may_order(&self, engine: &KnownEngine) -> bool {
+        let Some(duty) = self.duties.get(&engine.group()) else {
             return false;
         };
         let wait_ms = self.settings.ttl_ms + ORDER_TIMEOUT_MS;
         let waited_ms = duty.since_ms + wait_ms;
-        let checks = self.config.checks_fencing(seat.deployment());
-        let read_ms = seat.view().map(|view| view.read_ms);
+        let checks = self.config.checks_fencing(engine.deployment());
+        let read_ms = engine.view().map(|view| view.read_ms);
         match checks {
-            true => read_ms.is_some() && seat.is_fenced(),
+            true => read_ms.is_some() && engine.is_fenced(),
             false => read_ms.is_some_and(|read_ms| read_ms >= waited_ms),
         }
     }
 
-    /// Shows the new fencing number to engines that check it, by an order that changes nothing.
+    /// Sends the new fencing number to engines that check it, with an order that changes nothing.
     ///
-    /// Until an engine has seen the number, it still obeys the former coordinator, which may have been
-    /// paused before sending.
+    /// Until an engine receives the number, it still obeys the former coordinator, which may have
+    /// been paused before it sent an order.
     pub(super) fn tick_fences(&mut self, cx: CX![], _now_ms: MonoMs) {
-        if self.orders.showing {
+        if self.orders.fencing_in_flight {
             return;
         }
-        let Some(seat) = self.next_unfenced() else {
+        let Some(engine) = self.next_unfenced() else {
             return;
         };
-        let Some(role) = seat.view().map(|view| view.role) else {
+        let Some(role) = engine.view().map(|view| view.role) else {
             return;
         };
-        let (name, group, port) = (seat.name(), seat.group(), seat.port());
+        let (name, group, port) = (engine.name(), engine.group(), engine.port());
         let order = EngineOrder::SetRole { role };
         let Some(fencing) = self.fencing_now(cx, group) else {
             return;
         };
         self.counts.fences += 1;
-        self.orders.showing = true;
-        self.orders.shown_last = Some(name.clone());
+        self.orders.fencing_in_flight = true;
+        self.orders.last_fenced = Some(name.clone());
         let ret = ret_to!(
             [cx],
             on_fenced(name, fencing) as (Result<OrderAnswer, Error>)
@@ -114,20 +117,21 @@
         port.order(cx, order, fencing, ret);
     }
 
-    /// The next engine by name, behind the last one, that has not seen the fencing number.
+    /// Returns the next engine by name, after the last one, that has not received the fencing
+    /// number.
     ///
-    /// Were it always the first of them, one that answers no order would hold up all others: none
-    /// would be fenced, and so none be given a new version, for as long as it is on the list.
-    fn next_unfenced(&self) -> Option<&EngineSeat> {
-        let is_unfenced = |seat: &&EngineSeat| {
-            let checks = self.config.checks_fencing(seat.deployment());
-            let own = self.duties.contains_key(&seat.group());
-            checks && own && seat.view().is_some() && !seat.is_fenced()
+    /// If the first of them came first each time, an engine that answers no order would block all
+    /// others: none would be fenced, and so none would load a new version, as long as it is listed.
+    fn next_unfenced(&self) -> Option<&KnownEngine> {
+        let is_unfenced = |engine: &&KnownEngine| {
+            let checks = self.config.checks_fencing(engine.deployment());
+            let own = self.duties.contains_key(&engine.group());
+            checks && own && engine.view().is_some() && !engine.is_fenced()
         };
         let unfenced = || self.engines.iter().filter(is_unfenced);
-        let last = self.orders.shown_last.as_ref();
-        let behind = |seat: &&EngineSeat| last.is_none_or(|last| seat.name() > *last);
-        unfenced().find(behind).or_else(|| unfenced().next())
+        let last = self.orders.last_fenced.as_ref();
+        let is_after = |engine: &&KnownEngine| last.is_none_or(|last| engine.name() > *last);
+        unfenced().find(is_after).or_else(|| unfenced().next())
     }
 
     fn on_fenced(
@@ -137,13 +141,13 @@
         fencing: Fencing,
         answer: Option<Result<OrderAnswer, Error>>,
     ) {
-        self.orders.showing = false;
+        self.orders.fencing_in_flight = false;
         if let Some(Ok(answer)) = answer {
             self.on_order_answer(cx, &name, fencing, answer);
         }
     }
 
-    /// Takes in an order's answer, which is the engine's state as well.
+    /// Applies the answer to an order, which also contains the engine's state.
     fn on_order_answer(
         &mut self,
         cx: CX![],
@@ -152,12 +156,12 @@
         answer: OrderAnswer,
     ) {
         let now_ms = self.timers.now_ms(cx);
-        let group = self.engines.get(name).map(EngineSeat::group);
+        let group = self.engines.get(name).map(KnownEngine::group);
         let duty = group.and_then(|group| self.duties.get(&group));
         let current = duty.is_some_and(|duty| duty.fencing == fencing);
         if answer.fencing > fencing {
-            // A newer coordinator has ordered this engine: this node's lease is over, whatever its
-            // clock says.
+            // A newer coordinator has sent an order to this engine. So this node's lease has ended,
+            // whatever its clock says.
             self.counts.superseded += 1;
             if let Some(group) = group.filter(|_| current) {
                 self.duties.remove(&group);
@@ -175,28 +179,28 @@
             Some(Step::Loading {
                 load,
                 until_ms,
-                looked_ms,
-            }) => self.look(cx, load, until_ms, looked_ms, now_ms),
-            Some(Step::Asking { since_ms, .. })
-                if now_ms.since(since_ms) >= ORDER_TIMEOUT_MS + ASK_AGAIN_MS =>
+                polled_ms,
+            }) => self.check_load(cx, load, until_ms, polled_ms, now_ms),
+            Some(Step::WeightLookup { since_ms, .. })
+                if now_ms.since(since_ms) >= ORDER_TIMEOUT_MS + WEIGHTS_RETRY_MS =>
             {
                 self.orders.step = None;
             }
-            Some(Step::Asking { .. }) => (),
+            Some(Step::WeightLookup { .. }) => (),
             None => self.begin_load(cx, now_ms),
         }
     }
 
     fn begin_load(&mut self, cx: CX![], now_ms: MonoMs) {
-        // The weight store's limit is shared by the fleet; see `on_weights`.
+        // The fleet shares the weight store's limit; see `on_weights`.
         if self.orders.next_load_ms.is_some_and(|at_ms| now_ms < at_ms) {
             return;
         }
-        let seats = self.engines.iter();
-        let own: Vec<&EngineSeat> = seats
-            .filter(|seat| self.duties.contains_key(&seat.group()))
+        let engines = self.engines.iter();
+        let own: Vec<&KnownEngine> = engines
+            .filter(|engine| self.duties.contains_key(&engine.group()))
             .collect();
-        let may_order = |seat: &EngineSeat| self.may_order(seat);
+        let may_order = |engine: &KnownEngine| self.may_order(engine);
         let next = self
             .orders
             .rollout
@@ -210,18 +214,18 @@
         );
         let weights = self.weights.clone();
         weights.info(cx, &load.model, load.version, ret);
-        self.orders.step = Some(Step::Asking {
+        self.orders.step = Some(Step::WeightLookup {
             load,
             since_ms: now_ms,
         });
     }
 
-    /// Goes on to the order, if the store holds the version; one that it doesn't hold would take
-    /// a replica's time for nothing.
+    /// Orders the load if the weight store holds the version. An order for a version that it does
+    /// not hold would cost a replica's time for nothing.
     fn on_weights(&mut self, cx: CX![], load: Load, answer: Result<WeightInfo, Error>) {
-        let asked =
-            matches!(&self.orders.step, Some(Step::Asking { load: own, .. }) if *own == load);
-        if !asked {
+        let requested =
+            matches!(&self.orders.step, Some(Step::WeightLookup { load: own, .. }) if *own == load);
+        if !requested {
             return;
         }
         let now_ms = self.timers.now_ms(cx);
@@ -229,24 +233,28 @@
         let info = match answer {
             Ok(info) => info,
             Err(error) => {
-                log::warn!("{} version {}: {error}", load.model, load.version);
-                self.orders.next_load_ms = Some(now_ms + ASK_AGAIN_MS);
+                log::warn!(
+                    "the weight store did not describe {} version {}: {error}",
+                    load.model,
+                    load.version
+                );
+                self.orders.next_load_ms = Some(now_ms + WEIGHTS_RETRY_MS);
                 return;
             }
         };
-        let pace_ms = pace_ms(&info, self.settings.coordinators);
-        self.order_load(cx, load, pace_ms, now_ms);
+        let interval_ms = load_interval_ms(&info, self.settings.coordinators);
+        self.order_load(cx, load, interval_ms, now_ms);
     }
 
-    /// Orders the load, where nothing has changed while the store was asked.
-    fn order_load(&mut self, cx: CX![], load: Load, pace_ms: SpanMs, now_ms: MonoMs) {
-        let Some(seat) = self.engines.get(&load.engine) else {
+    /// Sends the order to load, if the engine may still receive it after the weight store's answer.
+    fn order_load(&mut self, cx: CX![], load: Load, interval_ms: SpanMs, now_ms: MonoMs) {
+        let Some(engine) = self.engines.get(&load.engine) else {
             return;
         };
-        if !self.may_order(seat) || !seat.is_live() {
+        if !self.may_order(engine) || !engine.is_live() {
             return;
         }
-        let (group, port) = (seat.group(), seat.port());
+        let (group, port) = (engine.group(), engine.port());
         let order = EngineOrder::LoadModel {
             model: load.model.clone(),
             version: load.version,
@@ -255,11 +263,11 @@
             return;
         };
         self.counts.loads += 1;
-        self.orders.next_load_ms = Some(now_ms + pace_ms);
+        self.orders.next_load_ms = Some(now_ms + interval_ms);
         self.orders.step = Some(Step::Loading {
             load: load.clone(),
-            until_ms: now_ms + pace_ms.mul_f64(LOAD_SLACK) + LOAD_EXTRA_MS,
-            looked_ms: now_ms,
+            until_ms: now_ms + interval_ms.mul_f64(LOAD_TIMEOUT_FACTOR) + LOAD_TIMEOUT_EXTRA_MS,
+            polled_ms: now_ms,
         });
         let name = load.engine;
         let ret = ret_some_to!(
@@ -269,7 +277,8 @@
         port.order(cx, order, fencing, ret);
     }
 
-    /// An order whose answer is lost may have been obeyed; reading the state back tells.
+    /// Applies the answer to an order to load. An order whose answer was lost may have been obeyed;
+    /// the state that is read back shows it.
     fn on_load_ordered(
         &mut self,
         cx: CX![],
@@ -282,16 +291,25 @@
         }
     }
 
-    fn look(&mut self, cx: CX![], load: Load, until_ms: MonoMs, looked_ms: MonoMs, now_ms: MonoMs) {
-        let Some(seat) = self.engines.get(&load.engine) else {
+    /// Ends the load if it is complete, has timed out or is no longer this node's. Otherwise polls
+    /// the engine if a poll is due.
+    fn check_load(
+        &mut self,
+        cx: CX![],
+        load: Load,
+        until_ms: MonoMs,
+        polled_ms: MonoMs,
+        now_ms: MonoMs,
+    ) {
+        let Some(engine) = self.engines.get(&load.engine) else {
             self.orders.step = None;
             return;
         };
-        if !self.duties.contains_key(&seat.group()) {
+        if !self.duties.contains_key(&engine.group()) {
             self.orders.step = None;
             return;
         }
-        let done = seat.view().is_some_and(|view| {
+        let done = engine.view().is_some_and(|view| {
             let mut own = view.models.iter().filter(|m| m.model == load.model);
             own.all(|m| m.version == load.version)
         });
@@ -306,19 +324,20 @@
             self.orders.step = None;
             return;
         }
-        if now_ms.since(looked_ms) >= LOOK_MS {
+        if now_ms.since(polled_ms) >= LOAD_POLL_INTERVAL_MS {
             self.orders.step = Some(Step::Loading {
                 load: load.clone(),
                 until_ms,
-                looked_ms: now_ms,
+                polled_ms: now_ms,
             });
             self.read_state(cx, &load.engine);
         }
     }
 }
 
-/// The time between two loads that keeps all coordinators together within the store's rate.
-fn pace_ms(info: &WeightInfo, coordinators: u32) -> SpanMs {
+/// Returns the time between two loads of one coordinator that keeps all coordinators together
+/// within the weight store's rate.
+fn load_interval_ms(info: &WeightInfo, coordinators: u32) -> SpanMs {
     let share = info.limit_bytes.0.max(1.0) / f64::from(coordinators.max(1));
     SpanMs((info.size_bytes.0 as f64 / share * 1000.0).ceil() as u64)
 }
--- a/crates/control/src/coordinator/reads.rs
+++ b/crates/control/src/coordinator/reads.rs
@@ -1,43 +1,43 @@
-//! Reading engines back: their state, and the memory they hold.
+//! Reads of the engines' state and of the memory that they hold.
 //!
-//! Reads are spaced so that a coordinator of many engines costs no more than one of few: each engine
-//! is read less often then. After a takeover the unread ones come first.
+//! At most one engine is read per tick, so that a coordinator of many engines costs no more than
+//! one of few; each engine is then read less often. After a takeover the unread engines come first.
 
 use super::reclaim::Reclaim;
-use super::{Coordinator, EngineSeat};
+use super::{Coordinator, KnownEngine};
 use bluebell_base::prelude::*;
 use bluebell_upstreams::{EngineOrder, Hold, OrderAnswer};
 use stakker::{CX, ret_to};
 use std::collections::BTreeMap;
 
-/// The time between two reads of an engine's state, where there are few.
-const STATE_MS: SpanMs = SpanMs::from_secs(10);
+/// The minimum time between two reads of an engine's state.
+const STATE_INTERVAL_MS: SpanMs = SpanMs::from_secs(10);
 
-/// The time between two reads of an engine's holds, where there are few.
-const HOLDS_MS: SpanMs = SpanMs::from_secs(20);
+/// The minimum time between two reads of an engine's holds.
+const HOLDS_INTERVAL_MS: SpanMs = SpanMs::from_secs(20);
 
-/// How long an answer may take until the engine is asked again.
-const ANSWER_MS: SpanMs = SpanMs::from_secs(10);
+/// The time after which an unread engine without an answer is read again.
+const ANSWER_TIMEOUT_MS: SpanMs = SpanMs::from_secs(10);
 
-/// When an engine was last asked.
+/// The times at which the last reads of an engine were sent.
 #[derive(Clone, Copy, Debug, Default)]
-struct Asked {
+struct LastReads {
     state_ms: Option<MonoMs>,
     holds_ms: Option<MonoMs>,
 }
 
-/// The reads under way and done.
+/// The last reads of all engines.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ReadSide {
-    asked: BTreeMap<UpstreamName, Asked>,
+    last: BTreeMap<UpstreamName, LastReads>,
 }
 
 impl Coordinator {
-    /// One state and one list of holds a tick at most.
+    /// Reads at most one engine's state and one engine's list of holds.
     pub(super) fn tick_reads(&mut self, cx: CX![], now_ms: MonoMs) {
         let names: Vec<UpstreamName> = self.own_engines();
         self.reads
-            .asked
+            .last
             .retain(|name, _| names.binary_search(name).is_ok());
         if let Some(name) = self.state_due(&names, now_ms) {
             self.read_state(cx, &name);
@@ -49,35 +49,40 @@
 
     fn own_engines(&self) -> Vec<UpstreamName> {
         let own = self.engines.iter();
-        let own = own.filter(|seat| self.duties.contains_key(&seat.group()));
-        own.map(EngineSeat::name).collect()
+        let own = own.filter(|engine| self.duties.contains_key(&engine.group()));
+        own.map(KnownEngine::name).collect()
     }
 
     fn state_due(&self, names: &[UpstreamName], now_ms: MonoMs) -> Option<UpstreamName> {
-        let last = |name: &UpstreamName| self.reads.asked.get(name).and_then(|a| a.state_ms);
+        let last = |name: &UpstreamName| self.reads.last.get(name).and_then(|reads| reads.state_ms);
         let due = |name: &&UpstreamName| {
             let unread = self
                 .engines
                 .get(name)
-                .is_some_and(|seat| seat.view().is_none());
-            let wait_ms = if unread { ANSWER_MS } else { STATE_MS };
+                .is_some_and(|engine| engine.view().is_none());
+            let wait_ms = if unread {
+                ANSWER_TIMEOUT_MS
+            } else {
+                STATE_INTERVAL_MS
+            };
             last(name).is_none_or(|at_ms| now_ms.since(at_ms) >= wait_ms)
         };
-        // Those never read under this duty first, then the one read longest ago.
+        // Engines that were never read under this duty come first, then the one read longest ago.
         let key = |name: &&UpstreamName| {
             let unread = self
                 .engines
                 .get(name)
-                .is_some_and(|seat| seat.view().is_none());
+                .is_some_and(|engine| engine.view().is_none());
             (!unread, last(name))
         };
         names.iter().filter(due).min_by_key(key).cloned()
     }
 
     fn holds_due(&self, names: &[UpstreamName], now_ms: MonoMs) -> Option<UpstreamName> {
-        let last = |name: &UpstreamName| self.reads.asked.get(name).and_then(|a| a.holds_ms);
-        let due =
-            |name: &&UpstreamName| last(name).is_none_or(|at_ms| now_ms.since(at_ms) >= HOLDS_MS);
+        let last = |name: &UpstreamName| self.reads.last.get(name).and_then(|reads| reads.holds_ms);
+        let due = |name: &&UpstreamName| {
+            last(name).is_none_or(|at_ms| now_ms.since(at_ms) >= HOLDS_INTERVAL_MS)
+        };
         names
             .iter()
             .filter(due)
@@ -87,15 +92,15 @@
 
     pub(super) fn read_state(&mut self, cx: CX![], name: &UpstreamName) {
         let now_ms = self.timers.now_ms(cx);
-        let Some(seat) = self.engines.get(name) else {
+        let Some(engine) = self.engines.get(name) else {
             return;
         };
-        let (group, port) = (seat.group(), seat.port());
+        let (group, port) = (engine.group(), engine.port());
         let Some(duty) = self.duties.get(&group) else {
             return;
         };
         let fencing = duty.fencing;
-        self.reads.asked.entry(name.clone()).or_default().state_ms = Some(now_ms);
+        self.reads.last.entry(name.clone()).or_default().state_ms = Some(now_ms);
         let ret = ret_to!(
             [cx],
             on_state(name.clone(), fencing) as (Result<OrderAnswer, Error>)
@@ -110,9 +115,9 @@
         fencing: Fencing,
         answer: Option<Result<OrderAnswer, Error>>,
     ) {
-        let group = self.engines.get(&name).map(EngineSeat::group);
+        let group = self.engines.get(&name).map(KnownEngine::group);
         let duty = group.and_then(|group| self.duties.get(&group));
-        // An answer to a question from an earlier duty says nothing about what was done since.
+        // The answer to a read from an earlier duty does not include later changes.
         let current = duty.is_some_and(|duty| duty.fencing == fencing);
         if let Some(Ok(answer)) = answer.filter(|_| current) {
             let now_ms = self.timers.now_ms(cx);
@@ -121,11 +126,11 @@
     }
 
     fn read_holds(&mut self, cx: CX![], name: &UpstreamName, now_ms: MonoMs) {
-        let Some(seat) = self.engines.get(name) else {
+        let Some(engine) = self.engines.get(name) else {
             return;
         };
-        let port = seat.port();
-        self.reads.asked.entry(name.clone()).or_default().holds_ms = Some(now_ms);
+        let port = engine.port();
+        self.reads.last.entry(name.clone()).or_default().holds_ms = Some(now_ms);
         let ret = ret_to!(
             [cx],
             on_holds(name.clone(), now_ms) as (Result<Vec<Hold>, Error>)
@@ -137,24 +142,24 @@
         &mut self,
         cx: CX![],
         name: UpstreamName,
-        asked_ms: MonoMs,
+        sent_ms: MonoMs,
         answer: Option<Result<Vec<Hold>, Error>>,
     ) {
         let Some(Ok(holds)) = answer else {
             return;
         };
         let now_ms = self.timers.now_ms(cx);
-        let reclaims = self.holds.on_holds(&name, &holds, asked_ms, now_ms);
+        let reclaims = self.holds.on_holds(&name, &holds, sent_ms, now_ms);
         for reclaim in reclaims {
             self.reclaim(cx, &name, reclaim);
         }
     }
 
     fn reclaim(&mut self, cx: CX![], name: &UpstreamName, reclaim: Reclaim) {
-        let Some(seat) = self.engines.get(name) else {
+        let Some(engine) = self.engines.get(name) else {
             return;
         };
-        let (group, port) = (seat.group(), seat.port());
+        let (group, port) = (engine.group(), engine.port());
         let order = EngineOrder::Reclaim {
             owner: reclaim.owner,
             request: reclaim.request,
@@ -163,7 +168,7 @@
             return;
         };
         log::info!(
-            "{name}: reclaiming {} of {}",
+            "{name}: reclaiming the memory of request {}, owner {}",
             reclaim.request,
             reclaim.owner
         );
@@ -172,6 +177,7 @@
         port.order(cx, order, fencing, ret);
     }
 
-    /// Whether it is free shows in the next list of holds; if not, it is reclaimed again.
+    /// Ignores the answer. The next list of holds shows the result; if the memory is still held, it
+    /// is reclaimed again.
     fn on_reclaimed(&mut self, _cx: CX![], _answer: Option<Result<OrderAnswer, Error>>) {}
 }
