--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,12 +1,13 @@
-//! What is agreed through the log: the configuration in force, leases of duties with fencing
-//! numbers, orders to upstreams, and the reclaiming of memory that dead owners hold.
+//! The state that the nodes of a fleet agree on through the log: the configuration in force and
+//! the leases of duties with their fencing numbers. Also the work that depends on these leases:
+//! orders to upstreams and reclaiming engine memory that dead owners hold.
 //!
-//! Terms: the *config stream* carries configuration and snapshot records, the *leases stream*
-//! lease records; a *duty* is a job that one node at a time does for the fleet; its *fencing number* is the offset of the
-//! record that granted it.
+//! Terms: the *config stream* carries configuration and snapshot records, the *leases stream* lease
+//! records; a *duty* is a job that one node at a time does for the fleet; its *fencing number* is
+//! the offset of the record that granted it.
 //!
-//! Invariants: the reduction of either stream is deterministic in log order; a lease is
-//! judged on its holder's monotonic clock from before the append was sent.
+//! Invariants: the reduction of either stream is deterministic in log order; the validity of a
+//! lease is measured on its holder's monotonic clock, starting before the append was sent.
 
 pub mod actor;
 pub mod coordinator;
@@ -32,44 +33,44 @@
 pub enum Duty {
     /// Own a shard of the idempotency keys.
     Shard(ShardId),
-    /// Write configuration snapshots before retention takes the last one.
+    /// Write configuration snapshots before the log's retention removes the last one.
     Snapshot,
     /// Write the platform's VM list to the directory stream.
     Directory,
-    /// Order and reclaim on the upstreams of one group of them.
+    /// Send orders to the upstreams of one group and reclaim memory on them.
     Coordinator(u32),
 }
 
-/// A lease of a duty, as this node sees it.
+/// A lease of a duty, as this node read it from the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
     /// The duty.
     pub duty: Duty,
-    /// Who holds it.
+    /// The node that holds the duty.
     pub holder: Incarnation,
-    /// Where the holder's peer interface listens.
+    /// The address of the holder's peer interface.
     pub address: Address,
     /// The fencing number.
     pub fencing: Fencing,
 }
 
-/// A change of what is agreed.
+/// A change of the agreed state.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ControlEvent {
     /// A configuration came into force here.
     Config {
-        /// Its version.
+        /// The version of the configuration.
         version: ConfigVersion,
         /// The configuration.
         config: Arc<FleetConfig>,
     },
     /// A duty's holder changed, as read from the log.
     Holder(Lease),
-    /// This node holds a duty until the instant, unless renewed.
+    /// This node holds a duty until `until_ms`, or longer if it renews the lease.
     Held {
         /// The lease.
         lease: Lease,
-        /// When it ends on this node's clock, margin taken off.
+        /// The end of the lease on this node's clock, less the safety margin.
         until_ms: MonoMs,
     },
     /// This node no longer holds a duty.
@@ -80,12 +81,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
 pub enum Published {
-    /// It is in the log, read back, and in force.
+    /// The publication was read back from the log and is in force.
     Accepted {
-        /// Its version.
+        /// The version that it created.
         version: ConfigVersion,
     },
-    /// Another publication came first.
+    /// Another publication with the same base came first.
     Conflict {
         /// The version in force.
         current: ConfigVersion,
--- a/crates/control/src/print/mod.rs
+++ b/crates/control/src/print/mod.rs
@@ -1,4 +1,4 @@
-//! The state of control as it is dumped for operators.
+//! The state dump of control for operators.
 
 use crate::records::DecodeError;
 use crate::{Duty, Lease};
@@ -6,13 +6,13 @@
 use bluebell_config::Fault;
 use serde::{Deserialize, Serialize};
 
-/// From where a version came into force on this node.
+/// The source from which this node received a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VersionSource {
-    /// Read from the log.
+    /// The log.
     Log,
-    /// Told by a peer.
+    /// A peer.
     Peer,
 }
 
@@ -21,20 +21,20 @@
 pub struct VersionSeen {
     /// The version.
     pub version: ConfigVersion,
-    /// Where it came from.
+    /// The source of the version.
     pub source: VersionSource,
-    /// When, on this node's clock.
+    /// The time at which it came into force, on this node's clock.
     pub at_ms: MonoMs,
-    /// The size of its text.
+    /// The size of the version's text.
     pub body_bytes: Bytes,
 }
 
-/// A version that this node knows of and can't bring into force.
+/// A version that this node received and can't bring into force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnusableVersion {
     /// The version.
     pub version: ConfigVersion,
-    /// Why its text is no configuration to this program.
+    /// The reason why this program can't decode the text of the version.
     pub fault: Fault,
 }
 
@@ -43,23 +43,23 @@
 pub struct HeldDump {
     /// The lease.
     pub lease: Lease,
-    /// When it ends on this node's clock.
+    /// The end of the lease on this node's clock.
     pub until_ms: MonoMs,
 }
 
-/// Records that were skipped, by reason.
+/// The numbers of skipped records by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SkippedRecords {
-    /// Over the record limit.
+    /// Records over the record limit.
     pub too_large: u64,
-    /// Of a kind that this version does not know.
+    /// Records of a kind that is unknown to this version.
     pub unknown_kind: u64,
-    /// Not readable at all.
+    /// Records that can't be decoded.
     pub malformed: u64,
 }
 
 impl SkippedRecords {
-    /// Counts one.
+    /// Counts a record that was skipped because of `error`.
     pub fn count(&mut self, error: &DecodeError) {
         match error {
             DecodeError::TooLarge(_) => self.too_large += 1,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Both together.
+    /// Returns the sums of both counts.
     pub fn plus(self, other: Self) -> Self {
         Self {
             too_large: self.too_large + other.too_large,
@@ -78,44 +78,45 @@
     }
 }
 
-/// What control knows.
+/// The state of control on this node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlDump {
-    /// The version in force here.
+    /// The version in force on this node.
     pub in_force: ConfigVersion,
-    /// What the check of this program has against the version in force; the first of them. Not
-    /// empty where it was published through a program with another check.
+    /// The first faults that this program's check finds in the version in force. Not empty if a
+    /// program with another check published it.
     pub faults: Vec<Fault>,
     /// A version newer than the one in force that this program can't decode.
     pub unusable: Option<UnusableVersion>,
-    /// The highest version that a peer said it holds.
+    /// The highest version that any peer reported.
     pub seen_at_peers: ConfigVersion,
-    /// The version that the log gives; none while it is not known.
+    /// The current version according to the log; `None` while the state is unknown.
     pub log_version: Option<ConfigVersion>,
-    /// Updates that wait for a snapshot.
+    /// The number of updates that wait for a snapshot.
     pub pending_updates: usize,
-    /// Publications of this node that are not resolved.
+    /// The number of publications of this node that are not resolved.
     pub unresolved: usize,
-    /// Snapshots that contradicted what this node read; always 0 unless the log is broken.
+    /// The number of snapshots that contradicted the records that this node read. It is 0 unless
+    /// the log is broken.
     pub contradictions: u64,
-    /// Records that were skipped.
+    /// The numbers of skipped records of both streams.
     pub skipped: SkippedRecords,
-    /// Whether the leases are known.
+    /// True if the state of the leases is known.
     pub leases_known: bool,
-    /// All leases as read.
+    /// All leases as read from the log.
     pub leases: Vec<Lease>,
-    /// Duties of this node.
+    /// The leases that this node holds.
     pub held: Vec<HeldDump>,
-    /// Takes of this node whose fate is not read.
+    /// The number of takes of this node whose outcome is not read yet.
     pub taking: usize,
-    /// Duties that nobody holds by the log.
+    /// The duties without a holder according to the log.
     pub vacant: Vec<Duty>,
-    /// Whether either stream can't be read now.
+    /// True if either stream can't be read now.
     pub log_down: bool,
 }
 
 impl ControlDump {
-    /// The dump as indented JSON.
+    /// Returns the dump as indented JSON.
     pub fn to_json(&self) -> String {
         serde_json::to_string_pretty(self).unwrap_or_default()
     }
--- a/crates/control/src/verify/mod.rs
+++ b/crates/control/src/verify/mod.rs
@@ -1,20 +1,20 @@
-//! Re-checks the invariants of the reduced states; tests run it after each step.
+//! Checks of the invariants of the reduced states. Tests run them after each step.
 
 use crate::Duty;
 use crate::reduce::{ConfigReducer, LeaseReducer};
 use bluebell_base::prelude::*;
 
-/// An invariant that does not hold.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
-    /// A fencing number lies behind the last record that touched its lease.
+    /// A fencing number is later than the last record that touched its lease.
     #[error("{duty:?}: fencing {fencing} is newer than its last touch {touched}")]
     TouchedBeforeGranted {
         /// The duty.
         duty: Duty,
         /// The fencing number.
         fencing: Fencing,
-        /// The last touch.
+        /// The offset of the last record that touched the lease.
         touched: Offset,
     },
     /// A lease names a record that was not read yet.
@@ -22,19 +22,19 @@
     TouchedInFuture {
         /// The duty.
         duty: Duty,
-        /// The last touch.
+        /// The offset of the last record that touched the lease.
         touched: Offset,
-        /// The next offset.
+        /// The next offset to read.
         next: Offset,
     },
-    /// Two duties were granted by one record.
+    /// One record granted two duties.
     #[error("two duties have the fencing number {0}")]
     FencingTwice(Fencing),
-    /// An unknown state shows leases.
-    #[error("leases are shown though the state is unknown")]
-    ShownUnknown,
-    /// The version went down.
-    #[error("the version went from {before} to {after}")]
+    /// A reader whose state is unknown has leases.
+    #[error("the state is unknown, but has leases")]
+    LeasesWhileUnknown,
+    /// The version decreased.
+    #[error("the version decreased from {before} to {after}")]
     VersionDown {
         /// The version before.
         before: ConfigVersion,
@@ -46,7 +46,7 @@
 /// Checks the leases after all records before `next` were applied.
 ///
 /// # Errors
-/// The first violation found.
+/// Returns the first violation found.
 pub fn verify_leases(leases: &LeaseReducer, next: Offset) -> Result<(), Violation> {
     let mut fencings = Vec::new();
     for (duty, grant) in leases.grants() {
@@ -72,16 +72,16 @@
         return Err(Violation::FencingTwice(pair[0]));
     }
     if !leases.is_known() && !fencings.is_empty() {
-        return Err(Violation::ShownUnknown);
+        return Err(Violation::LeasesWhileUnknown);
     }
     Ok(())
 }
 
-/// Checks that the version did not go down, `before` being the highest one known so far; gives
-/// the highest one known now.
+/// Checks that the version did not decrease and returns the highest version known now. `before` is
+/// the highest version known so far.
 ///
 /// # Errors
-/// The violation.
+/// Returns the violation if the version is below `before`.
 pub fn verify_config(
     config: &ConfigReducer,
     before: ConfigVersion,
