--- a/crates/control/tests/chaos.rs
+++ b/crates/control/tests/chaos.rs
@@ -1,5 +1,5 @@
-//! Random faults in random order on a small fleet, with what must always hold checked after each
-//! step. `CONTROL_SEED=n` runs one seed, `CONTROL_SEEDS=n` that many from 0 on.
+//! Random faults in random order on a small fleet. The invariants are checked after each step.
+//! `CONTROL_SEED=n` runs one seed, `CONTROL_SEEDS=n` runs `n` seeds from 0 on.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use support::{Fleet, Life, config_text};
+use support::{Fleet, ProcessState, config_text};
 
 const DEFAULT_SEEDS: u64 = 24;
 const NODES: usize = 4;
@@ -20,7 +20,7 @@
 
 type Answer = Rc<RefCell<Option<Result<Published, Error>>>>;
 
-/// An operator's publication and what became of it.
+/// An operator's publication and its answer.
 struct Publication {
     text: Arc<str>,
     answer: Answer,
@@ -30,9 +30,9 @@
     fleet: Fleet,
     random: ChaCha8Rng,
     publications: Vec<Publication>,
-    /// The text of each version, from whichever node showed it first.
+    /// The text of each version, as first seen in force on any node.
     texts: BTreeMap<ConfigVersion, Arc<str>>,
-    resume: Vec<(MonoMs, usize)>,
+    resumes: Vec<(MonoMs, usize)>,
     down_until_ms: MonoMs,
 }
 
@@ -51,21 +51,21 @@
             random: ChaCha8Rng::seed_from_u64(seed),
             publications: Vec::new(),
             texts: BTreeMap::new(),
-            resume: Vec::new(),
+            resumes: Vec::new(),
             down_until_ms: MonoMs(0),
         }
     }
 
     fn running(&self) -> Vec<usize> {
         let all = 0..self.fleet.nodes.len();
-        all.filter(|index| self.fleet.nodes[*index].life == Life::Running)
+        all.filter(|index| self.fleet.nodes[*index].state == ProcessState::Running)
             .collect()
     }
 
     fn step(&mut self) {
         match self.random.random_range(0..12) {
             0..=3 => self.publish(),
-            4..=6 => self.strike(),
+            4..=6 => self.inject_fault(),
             7..=8 => self.pause(),
             9 => self.replace(),
             10 => self.outage(),
@@ -73,7 +73,7 @@
         }
         let span_ms = self.random.random_range(50..6_000);
         self.fleet.run_ms(span_ms);
-        self.wake();
+        self.end_due_faults();
         self.check();
     }
 
@@ -88,7 +88,7 @@
         self.publications.push(Publication { text, answer });
     }
 
-    fn strike(&mut self) {
+    fn inject_fault(&mut self) {
         let faults = [
             Fault::LoseAnswer,
             Fault::Duplicate,
@@ -105,7 +105,7 @@
         self.fleet.add_fault(index, operation, 2, fault);
     }
 
-    /// Pauses a node for up to two leases; at least one node goes on.
+    /// Pauses a node for up to two leases. At least one node continues to run.
     fn pause(&mut self) {
         let running = self.running();
         if running.len() < 2 {
@@ -114,11 +114,11 @@
         let index = *running.choose(&mut self.random).unwrap();
         self.fleet.pause(index);
         let span_ms = self.random.random_range(100..22_000);
-        self.resume
+        self.resumes
             .push((self.fleet.now_ms + SpanMs(span_ms), index));
     }
 
-    /// Replaces a node; at least two that have run for a while go on.
+    /// Replaces a node. At least two other nodes continue to run.
     fn replace(&mut self) {
         let running = self.running();
         if running.len() < 3 {
@@ -135,20 +135,21 @@
         self.down_until_ms = self.fleet.now_ms + SpanMs(span_ms);
     }
 
-    fn wake(&mut self) {
+    /// Ends the platform's outage and the pauses that are due to end.
+    fn end_due_faults(&mut self) {
         let now_ms = self.fleet.now_ms;
         if now_ms >= self.down_until_ms {
             self.fleet.set_platform_down(false);
         }
-        let (due, later) = self.resume.iter().partition(|(at_ms, _)| now_ms >= *at_ms);
-        self.resume = later;
+        let (due, later) = self.resumes.iter().partition(|(at_ms, _)| now_ms >= *at_ms);
+        self.resumes = later;
         let due: Vec<(MonoMs, usize)> = due;
         due.into_iter()
             .for_each(|(_, index)| self.fleet.resume(index));
     }
 
-    /// No node went back, no two nodes show different texts for a version, and each answer an
-    /// operator got is true.
+    /// Checks that no node's version decreased, that no two nodes have different texts of one
+    /// version, and that each answer to an operator is correct.
     fn check(&mut self) {
         for index in 0..self.fleet.nodes.len() {
             let versions = self.fleet.versions(index);
@@ -156,7 +157,7 @@
                 versions.is_sorted_by(|a, b| a < b),
                 "node {index}: {versions:?}"
             );
-            if self.fleet.nodes[index].life == Life::Running {
+            if self.fleet.nodes[index].state == ProcessState::Running {
                 let (version, text) = self.fleet.in_force(index);
                 let known = self.texts.entry(version).or_insert(text.clone());
                 assert_eq!(*known, text, "{version} has two texts");
@@ -170,11 +171,11 @@
 
     fn check_answer(&self, publication: &Publication) {
         let answer = publication.answer.borrow();
-        let shown = self
+        let in_force = self
             .texts
             .iter()
             .find(|(_, text)| **text == publication.text);
-        let shown = shown.map(|(version, _)| *version);
+        let in_force = in_force.map(|(version, _)| *version);
         match &*answer {
             Some(Ok(Published::Accepted { version })) => {
                 let text = self.texts.get(version);
@@ -182,21 +183,21 @@
                     text.is_none_or(|text| *text == publication.text),
                     "{version}"
                 );
-                assert!(shown.is_none_or(|shown| shown == *version));
+                assert!(in_force.is_none_or(|in_force| in_force == *version));
             }
-            Some(Ok(Published::Conflict { .. })) => assert_eq!(shown, None, "a conflict is shown"),
+            Some(Ok(Published::Conflict { .. })) => assert_eq!(in_force, None, "conflict in force"),
             Some(Err(error)) if error.verdict == Verdict::NotRun => {
-                assert_eq!(shown, None, "not run, but shown");
+                assert_eq!(in_force, None, "not run, but in force");
             }
             Some(Err(_)) | None => (),
         }
     }
 
-    /// All faults end; then all is as it should be within a minute.
-    fn settle(&mut self) {
+    /// Ends all faults and checks that all nodes agree a minute later and that each duty is held.
+    fn recover(&mut self) {
         self.down_until_ms = MonoMs(0);
         self.fleet.model.borrow_mut().faults = Default::default();
-        for (_, index) in std::mem::take(&mut self.resume) {
+        for (_, index) in std::mem::take(&mut self.resumes) {
             self.fleet.resume(index);
         }
         self.fleet.run_ms(60_000);
@@ -209,11 +210,11 @@
         }
         for publication in &self.publications {
             if let Some(Ok(Published::Accepted { version })) = &*publication.answer.borrow() {
-                assert!(*version <= highest, "{version} was accepted and is lost");
+                assert!(*version <= highest, "{version} was accepted, but is lost");
             }
         }
-        // Where no node is left that knows the leases, and no checkpoint, the nodes reset them only
-        // after a minute and a half at most, and wait for another lease.
+        // If no node that knows the leases and no checkpoint is left, the nodes reset the leases
+        // after a minute and a half at most, and then wait for the duration of a lease.
         let end_ms = self.fleet.now_ms + SpanMs(60_000);
         let duties = self.fleet.settings.duties();
         let all_held = |fleet: &mut Fleet| {
@@ -230,15 +231,15 @@
     for _ in 0..STEPS {
         chaos.step();
     }
-    chaos.settle();
+    chaos.recover();
 }
 
 fn number_from(name: &str) -> Option<u64> {
     std::env::var(name).ok()?.parse().ok()
 }
 
-/// Operators publish while nodes pause, die and are replaced, the platform has outages and its
-/// answers are lost, late, doubled or never come, and records expire.
+/// Operators publish while nodes are paused, die and are replaced, while the platform has outages
+/// and its answers are lost, late, duplicated or missing, and while records expire.
 #[test]
 fn random_faults() {
     let seeds = match number_from("CONTROL_SEED") {
@@ -247,6 +248,6 @@
     };
     for seed in seeds {
         let result = std::panic::catch_unwind(|| run_seed(seed));
-        assert!(result.is_ok(), "fails with CONTROL_SEED={seed}");
+        assert!(result.is_ok(), "failed with CONTROL_SEED={seed}");
     }
 }
--- a/crates/control/tests/config.rs
+++ b/crates/control/tests/config.rs
@@ -1,4 +1,4 @@
-//! Configuration on the log, under faults.
+//! Publication of configurations through the log, under faults.
 
 mod support;
 
@@ -26,7 +26,7 @@
         .collect()
 }
 
-/// An operator publishes; every node has it in force within seconds.
+/// An operator publishes a configuration. It is in force on every node within seconds.
 #[test]
 fn a_publication_is_in_force_everywhere() {
     let mut fleet = Fleet::with_nodes(1, 9);
@@ -38,8 +38,8 @@
     }
 }
 
-/// Two operators change the same version at the same moment through different nodes. One wins,
-/// the other is told so, and no node ever shows the loser's text.
+/// Two operators change the same version at the same time through different nodes. One wins, the
+/// other receives a conflict, and the other's text is never in force on any node.
 #[test]
 fn racing_operators_get_one_winner() {
     for seed in 0..20 {
@@ -67,16 +67,17 @@
     }
 }
 
-/// What an operator is told, and what is in force in the end, for each fault of one publication.
+/// Checks the answer to an operator and the version in force in the end, for each fault of one
+/// publication.
 ///
-/// The operator sees one answer. The fault strikes the append of the publication; the answer has
-/// to be true whatever the fault.
+/// The operator receives one answer. The fault affects the append of the publication, and the
+/// answer has to be correct for each fault.
 #[test]
 fn one_publication_under_each_fault() {
     type Case = (
         &'static str,
         &'static [Fault],
-        // The version or verdict that is answered, and the version in force in the end.
+        // The version or verdict in the answer, and the version in force in the end.
         Result<u64, Verdict>,
         u64,
     );
@@ -123,8 +124,8 @@
     for (name, faults, answer, version) in cases {
         let mut fleet = Fleet::with_nodes(3, 3);
         fleet.run_ms(30_000);
-        // Only the publication's append may be struck, so no lease may be renewed right now.
-        fleet.mute_leases(0);
+        // The fault must affect only the publication's append, so no renewal may be due now.
+        fleet.run_past_renewal(0);
         for fault in *faults {
             fleet.add_fault(0, Operation::Append, 1, *fault);
         }
@@ -144,7 +145,8 @@
     }
 }
 
-/// The operator's file is wrong, or based on an old version: said at once, nothing is appended.
+/// The operator's file is invalid or based on an old version. The operator receives an error or a
+/// conflict at once, and nothing is appended.
 #[test]
 fn what_cannot_win_is_not_appended() {
     let mut fleet = Fleet::with_nodes(4, 2);
@@ -162,8 +164,8 @@
     assert_eq!(fleet.config_end(), before);
 }
 
-/// The log is down for an hour. Publications are refused at once as not run, what is in force
-/// stays in force, and afterwards all goes on.
+/// The log is down for an hour. Publications are refused at once as not run, and the configuration
+/// stays in force. Afterwards publications succeed again.
 #[test]
 fn an_outage_of_an_hour() {
     let mut fleet = Fleet::with_nodes(5, 5);
@@ -184,8 +186,8 @@
     }
 }
 
-/// Retention has long taken the publication. A node that starts then, with no peer to ask, finds
-/// the version in the snapshots, which are written in parts.
+/// Retention removed the publication long ago. A node that starts then and can't reach any peer
+/// finds the version in the snapshots, which are written in parts.
 #[test]
 fn snapshots_outlive_retention() {
     let platform = PlatformSettings {
@@ -213,7 +215,7 @@
 }
 
 /// All VMs are replaced, one after the other and then all at once, while records expire. The
-/// configuration stays, and operators go on from the version they had.
+/// configuration is kept, and operators continue from its version.
 #[test]
 fn all_nodes_replaced() {
     let platform = PlatformSettings {
@@ -246,7 +248,7 @@
     assert_eq!(fleet.versions(fresh), versions(&[1, 2]));
 }
 
-/// The whole platform is down and a node restarts, knowing a peer's address from its settings.
+/// The whole platform is down and a node restarts. It knows a peer's address from its settings.
 #[test]
 fn a_restart_with_the_platform_down() {
     let mut fleet = Fleet::with_nodes(11, 3);
@@ -261,7 +263,7 @@
     assert_eq!(fleet.versions(fresh), versions(&[1]));
 }
 
-/// When a node first saw a peer's card with that version.
+/// Returns the time at which a node first received a peer's card with that version.
 fn first_card_of(fleet: &Fleet, index: usize, version: ConfigVersion) -> MonoMs {
     let events = fleet.nodes[index].member_events.borrow();
     let found = events.iter().find(|(_, event)| match event {
@@ -272,8 +274,8 @@
 }
 
 /// The log is down and a node restarts. One of its peers was cut off before the last change and
-/// still holds the old version. The fresh node takes the newest from its peers, and once it saw
-/// that one, never the old.
+/// still has the old version. The new node gets the newest version from its peers. Once it has
+/// received a card with that version, it never brings the old one into force.
 #[test]
 fn a_restart_with_the_log_down() {
     let mut reverted = 0;
@@ -298,10 +300,10 @@
             seen == versions(&[2]) || seen == versions(&[1, 2]),
             "{seen:?}"
         );
-        // Once a peer's card said 2, nothing older may come into force.
-        let told_ms = first_card_of(&fleet, fresh, ConfigVersion(2));
+        // Once a peer's card has version 2, no older version may come into force.
+        let received_ms = first_card_of(&fleet, fresh, ConfigVersion(2));
         let events = fleet.nodes[fresh].events.borrow();
-        let late = events.iter().filter(|(at_ms, _)| *at_ms > told_ms);
+        let late = events.iter().filter(|(at_ms, _)| *at_ms > received_ms);
         let old = late.filter(|(_, event)| match event {
             ControlEvent::Config { version, .. } => *version < ConfigVersion(2),
             _ => false,
@@ -311,7 +313,7 @@
         assert_eq!(
             fleet.versions(3),
             versions(&[1, 2]),
-            "the stale one is helped too"
+            "the stale node should get version 2 too"
         );
         fleet.set_log_down(false);
         fleet.run_ms(10_000);
@@ -320,8 +322,8 @@
     assert_eq!(reverted, 0);
 }
 
-/// An update lands between the point a snapshot stands for and the snapshot itself. A node that
-/// can read only from behind the update must not take the older version for the newest.
+/// An update is appended between the `as_of` of a snapshot and the snapshot itself. A node that can
+/// read only the records after the update must not take the snapshot's version for the newest.
 #[test]
 fn a_snapshot_races_an_update() {
     let platform = PlatformSettings {
@@ -334,9 +336,9 @@
     });
     fleet.run_ms(10_000);
     assert_eq!(fleet.publish_now(0, 0, &config_text(1_000)), accepted(1));
-    // The holder's snapshot is under way for 6 s, in which the other node publishes.
+    // The append of the holder's snapshot takes 6 s, in which the other node publishes.
     let holder = fleet.running_holders(Duty::Snapshot)[0];
-    fleet.mute_leases(holder);
+    fleet.run_past_renewal(holder);
     fleet.run_until(MonoMs(39_900), |_| false);
     let slow = Fault::Slow(SpanMs(4_000));
     fleet.add_fault(holder, Operation::Append, 2, slow);
@@ -356,8 +358,8 @@
     }
 }
 
-/// A configuration of thousands of accounts is changed in one line: the log carries little more
-/// than that line, and a node that joins later has the whole text.
+/// One line of a configuration with thousands of accounts changes. The log carries little more than
+/// that line, and a node that starts later has the whole text.
 #[test]
 fn a_small_change_of_a_large_text() {
     let mut fleet = Fleet::with_nodes(12, 2);
@@ -378,9 +380,9 @@
     }
 }
 
-/// The log is down. A fresh node asks the only peer that it knows, which is stale and slow; before
-/// the answer comes, another peer says that it holds a newer version. The old one must not come
-/// into force, not even for the moment until the newer one is here.
+/// The log is down. A new node requests the configuration from the only peer that it knows, which
+/// is stale and slow. Before the answer arrives, another peer reports a newer version. The old
+/// version must not come into force, not even briefly until the newer one arrives.
 #[test]
 fn a_late_answer_of_a_stale_peer() {
     let mut fleet = Fleet::with_nodes(13, 2);
@@ -408,14 +410,14 @@
     assert_eq!(
         fleet.versions(fresh),
         versions(&[]),
-        "the answer is still on its way"
+        "the stale peer's answer should still be in flight"
     );
     fleet.run_ms(10_000);
     assert_eq!(fleet.versions(fresh), versions(&[2]));
 }
 
-/// A newer node publishes a text that this one can't read. It keeps what it has, and its next
-/// readable version comes into force.
+/// A newer node publishes a text that this one can't decode. This node keeps its version in force,
+/// and the next version that it can decode comes into force.
 #[test]
 fn a_text_that_this_version_cannot_read() {
     let mut fleet = Fleet::with_nodes(9, 2);
@@ -435,11 +437,13 @@
     assert_eq!(fleet.dump(0).unusable, None);
 }
 
-/// A configuration was accepted by the program of its day; the check of a newer program refuses it.
+/// The program that published a configuration accepted it, but the check of a newer program
+/// refuses it.
 ///
-/// The fleet is upgraded node by node, and a node that starts anew would have no configuration and
-/// refuse all work, while its operators have done nothing. The version is what was agreed, so it
-/// comes into force, with its faults in the dump; the next publication has to pass the check.
+/// The fleet is upgraded node by node. If the check kept the version out of force, a node that
+/// restarts would have no configuration and refuse all work, although its operators changed
+/// nothing. So the version comes into force, with its faults in the dump. The next publication has
+/// to pass the check.
 #[test]
 fn a_text_that_a_stricter_check_refuses() {
     let mut fleet = Fleet::with_nodes(14, 2);
@@ -468,7 +472,7 @@
     }
 }
 
-/// An update of one part, as another program could have appended it.
+/// Returns an update of one part, as another program could have appended it.
 fn update_record(base: u64, body: &str) -> String {
     encode(&ConfigRecord::Update(Update {
         op: OperationId(7),
@@ -480,14 +484,20 @@
     .to_string()
 }
 
-/// An unreadable, oversized or unknown record stands in the stream: it is skipped and counted.
+/// The stream contains malformed, oversized and unknown records. They are skipped and counted.
 #[test]
 fn bad_records_are_skipped() {
     let mut fleet = Fleet::with_nodes(10, 2);
     fleet.run_ms(2_000);
-    // The place of a part is what another program wrote, and may be no place at all.
-    let place = r#"{"record":"snapshot","op":1,"version":1,"made_by":1,"as_of":0,"part":{"index":4294967295,"count":0},"body":""}"#;
-    for text in ["", "{}", r#"{"record":"vote"}"#, &"x".repeat(70_000), place] {
+    // Another program wrote the position of the part, so it may be invalid.
+    let invalid_part = r#"{"record":"snapshot","op":1,"version":1,"made_by":1,"as_of":0,"part":{"index":4294967295,"count":0},"body":""}"#;
+    for text in [
+        "",
+        "{}",
+        r#"{"record":"vote"}"#,
+        &"x".repeat(70_000),
+        invalid_part,
+    ] {
         fleet.append_config(text);
     }
     assert_eq!(fleet.publish_now(0, 0, &config_text(1_000)), accepted(1));
--- a/crates/control/tests/leases.rs
+++ b/crates/control/tests/leases.rs
@@ -1,5 +1,5 @@
-//! Leases of duties on the log, under faults. After each step the rig checks that no two running
-//! nodes believe to hold one duty.
+//! Leases of duties under faults. After each step the test fleet checks that no two running nodes
+//! hold the same duty according to their own clocks.
 
 mod support;
 
@@ -14,18 +14,18 @@
 use std::rc::Rc;
 use support::Fleet;
 
-/// Waits until some node holds the duty; gives the time it took.
+/// Waits until a running node holds the duty. Returns the time in milliseconds that it took.
 fn wait_for_holder(fleet: &mut Fleet, duty: Duty, limit_ms: u64) -> u64 {
     let from_ms = fleet.now_ms;
     let end_ms = from_ms + SpanMs(limit_ms);
     let found = fleet.run_until(end_ms, |fleet| !fleet.running_holders(duty).is_empty());
-    assert!(found, "nobody held {duty:?} within {limit_ms} ms");
+    assert!(found, "no node held {duty:?} within {limit_ms} ms");
     fleet.now_ms.since(from_ms).0
 }
 
-/// A fleet starts; each duty finds one holder, and no node hoards them.
+/// A fleet starts. Each duty gets one holder, and the duties are spread evenly over the nodes.
 #[test]
-fn each_duty_finds_one_holder() {
+fn each_duty_gets_one_holder() {
     let mut fleet = Fleet::with_nodes(2, 9);
     fleet.run_ms(90_000);
     for duty in fleet.settings.duties() {
@@ -38,8 +38,8 @@
     }
 }
 
-/// A holder dies without a word. Its duties are taken once its lease is certainly over, and not
-/// before.
+/// A holder dies without a release. Its duties are taken after its lease has certainly ended, and
+/// not before.
 #[test]
 fn a_dead_holder_is_replaced() {
     for seed in 0..10 {
@@ -53,21 +53,21 @@
     }
 }
 
-/// A node stops as planned and gives its duties back: others hold all of them within seconds.
+/// A node stops as planned and releases its duties. Other nodes hold all of them within seconds.
 #[test]
 fn a_drained_holder_is_replaced_at_once() {
     for seed in 0..10 {
         let mut fleet = Fleet::with_nodes(seed, 5);
         fleet.run_ms(40_000);
-        let duties = fleet.believed(0);
+        let duties = fleet.held_duties(0);
         assert!(!duties.is_empty());
         let drained = Rc::new(Cell::new(false));
         let done = drained.clone();
         let ret = Ret::new(move |_| done.set(true));
         call!([fleet.nodes[0].control], drain(ret));
         fleet.run_ms(1_000);
-        assert!(drained.get(), "the release is read back");
-        assert!(fleet.believed(0).is_empty());
+        assert!(drained.get(), "the release should be read back");
+        assert!(fleet.held_duties(0).is_empty());
         fleet.run_ms(5_000);
         for duty in duties {
             assert_eq!(
@@ -77,13 +77,16 @@
             );
         }
         fleet.run_ms(60_000);
-        assert!(fleet.believed(0).is_empty(), "a drained node takes nothing");
+        assert!(
+            fleet.held_duties(0).is_empty(),
+            "a drained node should take nothing"
+        );
     }
 }
 
-/// A holder gives a duty back, but the release is long on its way. A renewal that it had sent
-/// before is read meanwhile and counts in the log. The holder must not go by it: when the release
-/// lands, another takes the duty at once, and both would hold it.
+/// A holder releases a duty, but the append of the release is slow. A renewal that it sent before
+/// is read meanwhile and counts in the log. The holder must ignore it: when the release is in the
+/// log, another node takes the duty at once, and both would hold it.
 #[test]
 fn a_renewal_after_giving_up() {
     let (me, duty) = (Incarnation(1), Duty::Snapshot);
@@ -111,12 +114,13 @@
         holder
             .on_touched(again, duty, &grant(7), MonoMs(4))
             .is_some(),
-        "taken anew"
+        "the duty should be held under a new fencing number"
     );
 }
 
-/// A record under this process's incarnation counts that it does not remember sending, such as
-/// one that waited in the log service for long: it may not act on it before it has renewed.
+/// A record of this incarnation counts that the process does not remember sending, for example
+/// because it waited in the log service for a long time. The process may not act on the lease
+/// before it has renewed it.
 #[test]
 fn a_forgotten_record_gives_no_validity() {
     let (me, duty) = (Incarnation(1), Duty::Snapshot);
@@ -141,8 +145,8 @@
     );
 }
 
-/// A node stops while a take of its own is long on its way, and counts later. The duty is given
-/// back at once, and the stopping node never acts on it.
+/// A node stops while the append of its own take is slow, and the take counts later. The duty is
+/// released at once, and the stopping node never acts on it.
 #[test]
 fn a_take_that_lands_after_a_drain() {
     let mut fleet = Fleet::with_nodes(3, 1);
@@ -151,7 +155,7 @@
     assert!(fleet.run_until(MonoMs(10_000), sent));
     call!([fleet.nodes[0].control], drain(Ret::new(|_| ())));
     let end = fleet.leases_end();
-    let acts = |fleet: &mut Fleet| !fleet.believed(0).is_empty();
+    let acts = |fleet: &mut Fleet| !fleet.held_duties(0).is_empty();
     let end_ms = fleet.now_ms + SpanMs(5_500);
     assert!(!fleet.run_until(end_ms, acts));
     let landed = fleet.leases_from(end);
@@ -168,7 +172,7 @@
     }
 }
 
-/// A node stops while the log is down: it isn't held up for longer than its lease.
+/// A node stops while the log is down. The drain takes no longer than the lease.
 #[test]
 fn a_drain_with_the_log_down_ends() {
     let mut fleet = Fleet::with_nodes(1, 3);
@@ -180,24 +184,25 @@
     call!([fleet.nodes[0].control], drain(ret));
     fleet.run_ms(200);
     assert!(
-        fleet.believed(0).is_empty(),
-        "it acts on nothing from the first moment"
+        fleet.held_duties(0).is_empty(),
+        "the node should stop acting on its duties at once"
     );
     fleet.run_ms(11_000);
     assert!(drained.get());
 }
 
-/// A holder is paused for about as long as a lease, wakes, still finds its fencing number current
-/// and renews, just when another node takes the duty. At most one of them may believe in it.
+/// A holder is paused for about the duration of a lease, resumes, still has the current fencing
+/// number and renews, at the time at which another node takes the duty. At most one of them may
+/// hold the duty.
 #[test]
-fn a_holder_wakes_as_its_duty_is_taken() {
+fn a_holder_resumes_as_its_duty_is_taken() {
     let duty = Duty::Coordinator(1);
     let mut taken = 0;
     for step in 0..60 {
         let mut fleet = Fleet::with_nodes(step, 3);
         fleet.run_ms(30_000);
         let holder = fleet.running_holders(duty)[0];
-        // Slow appends widen the window between deciding and landing.
+        // Slow appends widen the window between a decision and its record in the log.
         for index in 0..3 {
             let slow = Fault::Slow(SpanMs(300));
             fleet.add_fault(index, Operation::Append, 1_000, slow);
@@ -207,18 +212,18 @@
         fleet.run_ms(8_000 + step * 100);
         fleet.resume(holder);
         fleet.run_ms(40_000);
-        // It may just be on its way from one node to another for the sake of balance.
+        // The duty may be moving from one node to another for balance.
         wait_for_holder(&mut fleet, duty, 10_000);
         let now = fleet.running_holders(duty);
         taken += usize::from(now[0] != holder);
     }
     assert!(
         (5..60).contains(&taken),
-        "the pauses fall on both sides: {taken}"
+        "some pauses should lose the duty and some not: {taken}"
     );
 }
 
-/// The nodes' clocks run up to 4 % faster and slower than true.
+/// The nodes' clocks run up to 4 % faster or slower than virtual time.
 #[test]
 fn clocks_of_different_rates() {
     let mut fleet = Fleet::with_nodes(3, 0);
@@ -235,14 +240,14 @@
     }
 }
 
-/// The holder of each duty.
+/// Returns the holder of each duty.
 fn holders_of(fleet: &Fleet, duties: &[Duty]) -> Vec<usize> {
     let holder = |duty: &Duty| fleet.running_holders(*duty)[0];
     duties.iter().map(holder).collect()
 }
 
-/// The log is down for ten minutes. Every lease ends at its holder, nobody takes one over, and
-/// when the log is back the duties are held again without a rush of appends.
+/// The log is down for ten minutes. Every lease ends at its holder, and no node takes any. When the
+/// log is back, the duties are held again without a burst of appends.
 #[test]
 fn an_outage_of_the_log() {
     (0..8).for_each(outage_of_the_log);
@@ -277,14 +282,14 @@
     assert_eq!(
         holders_of(&fleet, &duties),
         before,
-        "the old holders renewed"
+        "the old holders should renew"
     );
 }
 
-/// All nodes are replaced, and the log has kept nothing of the leases: no reader can know who
-/// held what. The new nodes void all leases and go on.
+/// All nodes are replaced, and the log no longer has any record of the leases, so no reader can
+/// know the holders. The new nodes reset all leases and take the duties.
 #[test]
-fn leases_that_nobody_knows() {
+fn unknown_leases_are_reset() {
     let platform = PlatformSettings {
         retention_ms: SpanMs::from_secs(60),
         ..PlatformSettings::default()
@@ -308,8 +313,8 @@
     }
 }
 
-/// Faults of single appends of all nodes: lost answers, duplicates, slowness, refusals. The
-/// duties go on being held.
+/// Single appends of all nodes have faults: lost answers, duplicates, slowness and refusals. The
+/// duties are still held afterwards.
 #[test]
 fn faults_of_appends() {
     let faults = [
@@ -335,7 +340,7 @@
     }
 }
 
-/// Settings under which leases can't work are named before the node starts.
+/// Settings with which leases can't work are reported.
 #[test]
 fn settings_that_cannot_work() {
     assert!(ControlSettings::default().faults().is_empty());
@@ -354,7 +359,7 @@
     .assert_eq(&faults);
 }
 
-/// What an operator reads of a node alone that holds all duties.
+/// The state dump of a single node that holds all duties.
 #[test]
 fn the_dump_of_a_node() {
     let mut fleet = Fleet::with_nodes(1, 0);
--- a/crates/control/tests/measure.rs
+++ b/crates/control/tests/measure.rs
@@ -1,5 +1,5 @@
-//! Measures what docs/design states, with bounds that must hold. Run with
-//! `cargo test -p bluebell-control --test measure -- --nocapture` to see the figures.
+//! Measurements of the figures that docs/design states, with bounds that must hold. Run
+//! `cargo test -p bluebell-control --test measure -- --nocapture` to print the figures.
 
 mod support;
 
@@ -7,10 +7,11 @@
 use bluebell_control::{ControlEvent, Published};
 use support::{Fleet, Traffic, config_text};
 
-/// The longest a change may take everywhere, by the users' size for two years.
+/// The maximum time until a change is in force on all nodes, at the fleet size that the users plan
+/// for within two years.
 const FORCE_LIMIT_MS: u64 = 9_000;
 
-/// When a version came into force on each node that runs.
+/// Returns the times at which a version came into force on each node.
 fn forced_ms(fleet: &Fleet, version: u64) -> Vec<MonoMs> {
     let nodes = fleet.nodes.iter();
     let at = |node: &support::Node| {
@@ -42,8 +43,8 @@
     max
 }
 
-/// Publishes `count` times, each time through another node; gives for each publication the time
-/// until the last node has it in force.
+/// Publishes `count` times, each time through another node. Returns for each publication the time
+/// in milliseconds until it is in force on the last node.
 fn force_times(fleet: &mut Fleet, count: u64) -> Vec<u64> {
     let mut times = Vec::new();
     for version in 1..=count {
@@ -60,13 +61,13 @@
     times
 }
 
-/// A configuration that tells its version by its end target.
+/// Returns a configuration whose end target identifies its version.
 fn text_of(version: u64) -> Arc<str> {
     config_text(1_000 + version)
 }
 
-/// From an operator's call to force on the last of nine nodes: in quiet, at two intervals of
-/// reading.
+/// Measures the time from an operator's call until the version is in force on the last of nine
+/// nodes, without faults, at two read intervals.
 #[test]
 fn time_to_force() {
     for tail_ms in [300, 1_000] {
@@ -82,8 +83,8 @@
     }
 }
 
-/// The same after an outage in which publications were refused: from the platform's return, with
-/// an operator who tries again every 200 ms.
+/// Measures the same time after an outage in which publications were refused. It starts when the
+/// platform is back, and the operator retries every 200 ms.
 #[test]
 fn time_to_force_after_an_outage() {
     let mut fleet = Fleet::with_nodes(2, 9);
@@ -107,7 +108,8 @@
     assert!(max <= FORCE_LIMIT_MS);
 }
 
-/// Reads of the log, appends, fetches of the list and peer calls of one node since its start.
+/// Returns the traffic of one node since its start: reads of the log, appends, fetches of the list
+/// and peer calls.
 fn traffic_of(fleet: &Fleet, index: usize) -> [Traffic; 4] {
     let node = &fleet.nodes[index];
     let mut parts = [Traffic::default(); 4];
@@ -129,8 +131,9 @@
     parts
 }
 
-/// What one node sends and gets for control, as JSON without HTTP's own bytes, while nothing
-/// changes: the mean of all nodes, and the node with the most, which is the directory's writer.
+/// Measures the traffic of one node for control while nothing changes, as JSON without the overhead
+/// of HTTP: the mean of all nodes, and the node with the most traffic, which is the directory's
+/// writer.
 #[test]
 fn bytes_per_node() {
     println!(
@@ -171,8 +174,9 @@
     }
 }
 
-/// The processor time of one node's control and membership with 400 nodes and 1,800 engines
-/// known, all coordinators' duties on it, which is the worst case. Printed only: it is real time.
+/// Measures the processor time of one node's control and membership in the worst case: 400 nodes
+/// and 1,800 engines are known, and the node holds all coordinator duties. The result is only
+/// printed, since it depends on the machine.
 #[test]
 fn processor_time() {
     let mut fleet = Fleet::with_nodes(4, 1);
@@ -196,5 +200,7 @@
     let span_ms = 120_000;
     fleet.run_ms(span_ms);
     let share = started.elapsed().as_millis() as f64 / span_ms as f64 * 100.0;
-    println!("one node, 400 nodes and 1,800 engines known: {share:.2} % of a core, rig included");
+    println!(
+        "one node, 400 nodes and 1,800 engines known: {share:.2} % of a core, test fleet included"
+    );
 }
--- a/crates/control/tests/membership.rs
+++ b/crates/control/tests/membership.rs
@@ -1,5 +1,5 @@
-//! Membership of a whole fleet: the list, the directory stream, probes and refusals, under
-//! faults.
+//! Membership of a fleet under faults: the platform's list, the directory stream, probes and
+//! refusals.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use bluebell_platform::{VmEntry, VmState};
 use bluebell_stand_ins::platform::{Fault, FaultRule, Operation, VmChange};
 use stakker::call;
-use support::{Fleet, Life};
+use support::{Fleet, ProcessState};
 
 fn fleet(seed: u64, nodes: usize, engines: u32) -> Fleet {
     let mut fleet = Fleet::with_nodes(seed, nodes);
@@ -24,7 +24,8 @@
     format!("writers-{number}").as_str().into()
 }
 
-/// What a node was last told of an upstream, and when.
+/// Returns the state of an upstream that a node last received, and the time; `None` if the upstream
+/// is gone or unknown.
 fn last_event(fleet: &Fleet, index: usize, name: &UpstreamName) -> Option<(MonoMs, VmState)> {
     let events = fleet.nodes[index].member_events.borrow();
     let mut last = None;
@@ -61,34 +62,35 @@
 
 fn running(fleet: &Fleet) -> Vec<usize> {
     let all = 0..fleet.nodes.len();
-    all.filter(|index| fleet.nodes[*index].life == Life::Running)
+    all.filter(|index| fleet.nodes[*index].state == ProcessState::Running)
         .collect()
 }
 
-/// An engine refuses a request since it is leaving; the list does not say so, or is down with the
-/// whole platform. All nodes stop sending to it within seconds. When the list goes on to say that
-/// it lives, it is tried again after a while, and the refusal does not go round for ever.
+/// An engine refuses a request since it is leaving, but the list still has it as live, or is down
+/// with the whole platform. All nodes stop sending to the engine within seconds. If the list
+/// continues to have it as live, all nodes send to it again after the refusal expires, and the
+/// refusal does not circulate forever.
 #[test]
 fn a_refusal_reaches_all_nodes() {
     for (nodes, platform_down) in [(9, false), (9, true), (50, true), (200, true)] {
         let mut fleet = fleet(1, nodes, 10);
         fleet.set_platform_down(platform_down);
         fleet.run_ms(1_000);
-        let told_ms = fleet.now_ms;
+        let refused_ms = fleet.now_ms;
         call!([fleet.nodes[0].members], upstream_refused(name(3)));
-        let all_told = |fleet: &mut Fleet| {
+        let all_know = |fleet: &mut Fleet| {
             (0..nodes).all(|index| state(fleet, index, &name(3)) == Some(VmState::Leaving))
         };
-        assert!(fleet.run_until(told_ms + SpanMs(5_000), all_told));
-        let took_ms = fleet.now_ms.since(told_ms);
+        assert!(fleet.run_until(refused_ms + SpanMs(5_000), all_know));
+        let took_ms = fleet.now_ms.since(refused_ms);
         println!("{nodes} nodes, platform down {platform_down}: {took_ms}");
         if nodes > 50 {
             // The rest does not depend on the number of nodes.
             continue;
         }
-        // It stays shut out for the time a refusal counts, and comes back to everyone.
+        // The engine is excluded until the refusal expires, and then live again at all nodes.
         fleet.run_ms(50_000);
-        assert!(all_told(&mut fleet));
+        assert!(all_know(&mut fleet));
         fleet.run_ms(20_000);
         for index in 0..nodes {
             assert_eq!(
@@ -101,22 +103,22 @@
         fleet.run_ms(300_000);
         for index in 0..nodes {
             let (at_ms, _) = last_event(&fleet, index, &name(3)).unwrap();
-            assert!(at_ms <= back_ms, "node {index} was told once more");
+            assert!(at_ms <= back_ms, "node {index} received another change");
         }
     }
 }
 
-/// The list says that an engine leaves, and later that it is gone. All nodes know soon, by the
-/// directory stream, though only one of them asks the list.
+/// The list marks an engine as leaving and later removes it. All nodes learn this soon from the
+/// directory stream, although only one of them fetches the list.
 #[test]
 fn the_list_reaches_all_nodes() {
     let mut fleet = fleet(2, 9, 10);
     let lists = fleet.model.borrow().stats().lists;
     fleet.run_ms(60_000);
-    let asked = fleet.model.borrow().stats().lists - lists;
+    let fetches = fleet.model.borrow().stats().lists - lists;
     assert!(
-        (30..=130).contains(&asked),
-        "one node asks once a second: {asked}"
+        (30..=130).contains(&fetches),
+        "one node should fetch once a second: {fetches}"
     );
     let mut entry = entry_of(&mut fleet, 4);
     entry.state = VmState::Leaving;
@@ -133,10 +135,11 @@
     }
 }
 
-/// The list is wrong for a moment: it lacks one engine for a second, or nearly all for ten. No
-/// node drops any. An engine that it lacks for longer comes back when it is listed again.
+/// The list is briefly wrong: one engine is missing for a second, or nearly all for ten seconds. No
+/// node removes any engine. An engine that is missing for longer is live again when it is listed
+/// again.
 #[test]
-fn a_wrong_list_does_no_harm() {
+fn a_briefly_wrong_list_removes_no_engine() {
     let mut fleet = fleet(3, 5, 10);
     let entries: Vec<VmEntry> = (0..10).map(|number| entry_of(&mut fleet, number)).collect();
     remove(&mut fleet, 2);
@@ -165,8 +168,9 @@
     }
 }
 
-/// The log is down, so there is no directory: nodes ask the list themselves, seldom, and learn of
-/// changes later. When the log is back, one of them asks for all again.
+/// The log is down, so the directory stream can't be read. Each node fetches the list itself,
+/// rarely, and learns of changes later. When the log is back, one node fetches the list for all
+/// again.
 #[test]
 fn the_directory_stream_is_down() {
     let mut fleet = fleet(4, 5, 4);
@@ -180,21 +184,24 @@
     for index in 0..5 {
         assert_eq!(state(&fleet, index, &name(1)), Some(VmState::Leaving));
     }
-    let asked = fleet.model.borrow().stats().lists - lists;
+    let fetches = fleet.model.borrow().stats().lists - lists;
     assert!(
-        (8..=40).contains(&asked),
-        "{asked} fetches by 5 nodes in 60 s"
+        (8..=40).contains(&fetches),
+        "{fetches} fetches by 5 nodes in 60 s"
     );
     fleet.set_log_down(false);
     fleet.run_ms(60_000);
     let lists = fleet.model.borrow().stats().lists;
     fleet.run_ms(60_000);
-    let asked = fleet.model.borrow().stats().lists - lists;
-    assert!((30..=130).contains(&asked), "one node asks: {asked}");
+    let fetches = fleet.model.borrow().stats().lists - lists;
+    assert!(
+        (30..=130).contains(&fetches),
+        "one node should fetch: {fetches}"
+    );
 }
 
-/// The list is down when a node starts. It reads the directory stream from its beginning instead,
-/// and is told only of what is there now.
+/// The list is down when a node starts. The node reads the directory stream from its beginning
+/// instead and reports only the engines that exist now.
 #[test]
 fn a_start_with_the_list_down() {
     let mut fleet = fleet(5, 3, 6);
@@ -217,9 +224,9 @@
     assert!(!events.iter().any(gone));
 }
 
-/// A node starts and has fetched the list, but not yet found the end of the directory stream, when
-/// an engine is marked as leaving. The record of that lies before the end that it finds, so it
-/// never reads it; the next beat's digest tells it that its list is another.
+/// A node starts and has fetched the list, but has not yet found the end of the directory stream,
+/// when an engine is marked as leaving. The record of the change lies before the end that the node
+/// finds, so the node never reads it. The digest of the next beat shows that its list differs.
 #[test]
 fn a_change_between_list_and_stream() {
     let mut fleet = fleet(7, 3, 4);
@@ -240,14 +247,14 @@
     assert_eq!(state(&fleet, fresh, &name(2)), Some(VmState::Leaving));
 }
 
-/// The writer of the directory is paused, another takes over, engines come and go, and the old
-/// writer goes on with what it saw before. All nodes end with the list as it is.
+/// The writer of the directory is paused, another node takes over, engines appear and leave, and
+/// the old writer continues with its old state. In the end all nodes have the current list.
 #[test]
 fn a_paused_writer_changes_nothing() {
     for seed in 0..10 {
         let mut fleet = fleet(seed, 4, 8);
         let old = fleet.running_holders(Duty::Directory)[0];
-        // What it writes next is on its way while it is paused.
+        // Its next record is in flight while it is paused.
         remove(&mut fleet, 7);
         fleet.run_ms(2_000 + seed * 150);
         fleet.pause(old);
@@ -267,14 +274,14 @@
     }
 }
 
-/// A node dies: its peers stop counting on it within seconds, though the list still has it. One
-/// that was only paused is counted again when it goes on, and nobody takes it for dead.
+/// A node dies. Its peers remove it from the live nodes within seconds, although the list still has
+/// it. A node that was only paused is live again when it resumes, and no node reports it as dead.
 #[test]
 fn dead_and_paused_nodes() {
     let mut fleet = fleet(6, 9, 1);
     fleet.kill(8);
     fleet.pause(7);
-    // A round of 8 probes, and three failed ones of up to 1 s each, 1.5 s apart at most.
+    // A round of 8 probes, and three failed probes of up to 1 s each, at most 1.5 s apart.
     fleet.run_ms(8 * 1_500 + 3 * 2_500);
     for index in 0..7 {
         assert_eq!(fleet.members_dump(index).nodes.len(), 6, "node {index}");
@@ -298,9 +305,9 @@
 }
 
 /// The list is so long that its writer fetches it once in two minutes, while a stream without a
-/// record for half a minute counts as stale. All nodes fetched the list themselves then, all the
-/// time: 400 copies of it where one would do. The writer has to show between two fetches that it
-/// is at work; once it can't reach the list any more, the others look for themselves.
+/// record for half a minute counts as stale. Guards against all nodes fetching the list all the
+/// time, that is 400 copies instead of one: the writer has to append records between two fetches.
+/// If it can't reach the list any more, the other nodes fetch the list themselves.
 #[test]
 fn a_long_list_is_fetched_by_one() {
     let mut fleet = fleet(11, 5, 0);
@@ -309,8 +316,8 @@
     let lists = |fleet: &Fleet| fleet.model.borrow().stats().lists;
     let before = lists(&fleet);
     fleet.run_ms(600_000);
-    let asked = lists(&fleet) - before;
-    assert!((3..=12).contains(&asked), "{asked} fetches in 600 s");
+    let fetches = lists(&fleet) - before;
+    assert!((3..=12).contains(&fetches), "{fetches} fetches in 600 s");
 
     let holder = (0..5).find(|index| {
         let held = fleet.nodes[*index].held.borrow();
@@ -321,6 +328,9 @@
     fleet.run_ms(400_000);
     let before = lists(&fleet);
     fleet.run_ms(600_000);
-    let asked = lists(&fleet) - before;
-    assert!(asked >= 12, "{asked} fetches in 600 s without the writer's");
+    let fetches = lists(&fleet) - before;
+    assert!(
+        fetches >= 12,
+        "{fetches} fetches in 600 s without the writer's"
+    );
 }
--- a/crates/control/tests/reducers.rs
+++ b/crates/control/tests/reducers.rs
@@ -1,4 +1,4 @@
-//! The reducers on random logs: readers that start anywhere never contradict each other.
+//! The reducers on random logs. Readers that start at any offset never contradict each other.
 
 use bluebell_base::prelude::*;
 use bluebell_control::Duty;
@@ -10,9 +10,10 @@
 /// A step of the random history of the config stream.
 #[derive(Clone, Debug)]
 enum Step {
-    /// An update whose base is `behind` versions before the next one, so that 0 is one too new and
-    /// 1 the current one. Its text keeps ends of the one before and is in `parts` parts, of which
-    /// one may be lost or followed by a record of another writer; appended `copies` times.
+    /// An update whose base is `behind` versions before the next version, so that 0 is one version
+    /// too new and 1 is the current version. Its text keeps both ends of the previous text and has
+    /// `parts` parts, of which one may be lost or followed by a record of another writer. It is
+    /// appended `copies` times.
     Update {
         behind: u64,
         parts: u32,
@@ -21,11 +22,11 @@
         splice: Splice,
         broken_by: Option<u32>,
     },
-    /// A snapshot of the state `late` records ago.
+    /// A snapshot of the state as of `late` records ago.
     Snapshot { late: u64, parts: u32 },
 }
 
-/// A record of another writer, that counts for nothing by itself.
+/// Returns a record of another writer that does not count by itself.
 fn foreign() -> ConfigRecord {
     ConfigRecord::Update(Update {
         op: OperationId(0),
@@ -57,10 +58,10 @@
     ]
 }
 
-/// Builds the log; a reader from the very beginning is the judge of what is true when.
+/// A log with the expected state at each offset, computed by a reader that starts at offset 0.
 struct History {
     log: Vec<ConfigRecord>,
-    truth: Vec<ConfigReducer>,
+    expected: Vec<ConfigReducer>,
     reader: ConfigReducer,
     ops: u64,
 }
@@ -70,7 +71,7 @@
         let reader = ConfigReducer::new(Offset(0));
         Self {
             log: Vec::new(),
-            truth: vec![reader.clone()],
+            expected: vec![reader.clone()],
             reader,
             ops: 0,
         }
@@ -80,7 +81,7 @@
         let offset = Offset(self.log.len() as u64);
         self.reader.apply(offset, &record, &mut Vec::new());
         self.log.push(record);
-        self.truth.push(self.reader.clone());
+        self.expected.push(self.reader.clone());
     }
 
     fn apply(&mut self, step: &Step) {
@@ -117,7 +118,7 @@
             }
             Step::Snapshot { late, parts } => {
                 let as_of = self.log.len().saturating_sub(late as usize);
-                let known = self.truth[as_of].known().unwrap().clone();
+                let known = self.expected[as_of].known().unwrap().clone();
                 let part_bytes = known.body.len().div_ceil(parts as usize).max(4) as u64;
                 for (part, body) in cut(&known.body, Bytes(part_bytes)).unwrap() {
                     self.push(ConfigRecord::Snapshot(Snapshot {
@@ -137,9 +138,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(600))]
 
-    /// Retention takes the beginning of the log, with half a publication or a racing snapshot at
-    /// the cut. A reader that starts there knows nothing or exactly what all others know, and its
-    /// version never goes down.
+    /// Retention removes the beginning of the log, with half a publication or a racing snapshot at
+    /// the cut. The state of a reader that starts there is unknown or equal to that of all others,
+    /// and its version never decreases.
     #[test]
     fn config_readers_agree(
         steps in proptest::collection::vec(step(), 1..25),
@@ -163,13 +164,19 @@
                 at += 1;
                 highest = verify_config(&reader, highest).unwrap();
                 if let Some(known) = reader.known() {
-                    prop_assert_eq!(Some(known), history.truth[at].known(), "start {} at {}", start, at);
+                    prop_assert_eq!(
+                        Some(known),
+                        history.expected[at].known(),
+                        "start {} at {}",
+                        start,
+                        at
+                    );
                 }
             }
         }
     }
 
-    /// The change between any two texts makes the one out of the other.
+    /// The splice between any two texts turns the first into the second.
     #[test]
     fn splices_fit(before in "[abä€]{0,12}", after in "[abä€]{0,12}") {
         let (splice, middle) = Splice::between(&before, &after);
@@ -186,7 +193,7 @@
         }
     }
 
-    /// Any text may stand in the log: each is skipped or read, none crashes a reader.
+    /// The log may contain any text. Each is skipped or read, and none crashes a reader.
     #[test]
     fn any_text_is_read_or_skipped(text in "\\PC{0,200}", limit in 0..300u64) {
         let _ = decode::<ConfigRecord>(&text, Bytes(limit));
@@ -217,21 +224,21 @@
 
 struct LeaseHistory {
     log: Vec<LeaseRecord>,
-    truth: Vec<LeaseReducer>,
+    expected: Vec<LeaseReducer>,
 }
 
 impl LeaseHistory {
     fn new() -> Self {
         Self {
             log: Vec::new(),
-            truth: vec![LeaseReducer::new(Offset(0))],
+            expected: vec![LeaseReducer::new(Offset(0))],
         }
     }
 
-    /// What a node that reads `stale` records late would write.
+    /// Returns the record that a node would write that has not read the last `stale` records.
     fn record(&self, step: &LeaseStep) -> LeaseRecord {
         let op = OperationId(self.log.len() as u64 + 1);
-        let view = |stale: u64| &self.truth[self.log.len().saturating_sub(stale as usize)];
+        let view = |stale: u64| &self.expected[self.log.len().saturating_sub(stale as usize)];
         let held = |node: u64, stale: u64| {
             let own = view(stale).grants();
             let own = own.filter(|(_, grant)| grant.holder == Some(Incarnation(node)));
@@ -265,7 +272,7 @@
             }),
             LeaseStep::Checkpoint { late } => {
                 let as_of = self.log.len().saturating_sub(late as usize);
-                let checkpoint = self.truth[as_of].checkpoint(op, Offset(as_of as u64));
+                let checkpoint = self.expected[as_of].checkpoint(op, Offset(as_of as u64));
                 LeaseRecord::Checkpoint(checkpoint)
             }
             LeaseStep::Reset => LeaseRecord::Reset(Reset { op }),
@@ -274,7 +281,7 @@
 
     fn apply(&mut self, step: &LeaseStep) {
         let record = self.record(step);
-        let mut next = self.truth.last().unwrap().clone();
+        let mut next = self.expected.last().unwrap().clone();
         next.apply(
             Offset(self.log.len() as u64),
             record.clone(),
@@ -282,7 +289,7 @@
         );
         verify_leases(&next, Offset(self.log.len() as u64 + 1)).unwrap();
         self.log.push(record);
-        self.truth.push(next);
+        self.expected.push(next);
     }
 }
 
@@ -294,13 +301,14 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(600))]
 
-    /// Nodes take, renew and release on what they read some records ago. A reader that starts
-    /// anywhere knows nothing or exactly what all others know, and fencing numbers only grow.
+    /// Nodes take, renew and release according to a state that is some records old. The state of a
+    /// reader that starts at any offset is unknown or equal to that of all others, and fencing
+    /// numbers only grow.
     #[test]
     fn lease_readers_agree(steps in proptest::collection::vec(lease_step(), 1..50)) {
         let mut history = LeaseHistory::new();
         steps.iter().for_each(|step| history.apply(step));
-        for pair in history.truth.windows(2) {
+        for pair in history.expected.windows(2) {
             for (duty, grant) in pair[0].grants() {
                 let after = pair[1].grant(duty);
                 prop_assert!(after.is_none_or(|after| after.fencing >= grant.fencing));
@@ -312,17 +320,17 @@
                 reader.apply(Offset(at as u64), history.log[at].clone(), &mut Vec::new());
                 verify_leases(&reader, Offset(at as u64 + 1)).unwrap();
                 if reader.is_known() {
-                    prop_assert_eq!(leases_of(&reader), leases_of(&history.truth[at + 1]));
+                    prop_assert_eq!(leases_of(&reader), leases_of(&history.expected[at + 1]));
                 }
             }
         }
     }
 }
 
-/// Which parts in a row make a text that counts; `x` is a record of another writer, `-` one that
-/// can't be read.
+/// Checks which sequences of parts form a text that counts. `x` is a record of another writer, `-`
+/// a record that can't be read.
 #[test]
-fn parts_count_only_side_by_side() {
+fn parts_count_only_at_consecutive_offsets() {
     let cases = [
         ("0 1 2", 1),
         ("0 x 1 2", 0),
@@ -358,7 +366,7 @@
     }
 }
 
-/// A newer version writes records with more fields and of kinds that this one does not know.
+/// A newer version writes records with additional fields and records of unknown kinds.
 #[test]
 fn records_of_a_newer_version() {
     let cases = [
--- a/crates/control/tests/support/counting.rs
+++ b/crates/control/tests/support/counting.rs
@@ -1,4 +1,4 @@
-//! Counts what a node sends to the platform and gets from it, as JSON without HTTP.
+//! Counters of the traffic between a node and the platform, measured as JSON without HTTP.
 
 use bluebell_base::prelude::*;
 use bluebell_platform::{LogPort, ReadBatch, VmEntry, VmListPort};
@@ -8,17 +8,17 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Calls and bytes, both ways together.
+/// The calls and bytes in both directions together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     pub calls: u64,
     pub bytes: u64,
 }
 
-/// The traffic by what it is for.
+/// The traffic by operation and stream.
 pub type Counts = Rc<RefCell<BTreeMap<Arc<str>, Traffic>>>;
 
-/// A port to the platform that counts.
+/// A platform port that counts its traffic.
 pub struct Counting<P> {
     pub inner: Rc<P>,
     pub counts: Counts,
--- a/crates/control/tests/support/engine.rs
+++ b/crates/control/tests/support/engine.rs
@@ -1,5 +1,5 @@
-//! An engine as its coordinator sees it, shared by all nodes. Orders leave a node some time after
-//! they were handed over, on that node's clock, so that a pause can fall between.
+//! An engine as seen by its coordinator, shared by all nodes. An order leaves a node some time
+//! after it was handed over, on that node's clock, so that the node can be paused in between.
 
 use bluebell_base::prelude::*;
 use bluebell_upstreams::engine::LoadedModel;
@@ -12,10 +12,10 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// The time one way.
+/// The latency in one direction.
 const LATENCY_MS: SpanMs = SpanMs(2);
 
-/// What happened on an engine.
+/// An order that an engine received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineEvent {
     pub at_ms: MonoMs,
@@ -24,8 +24,9 @@
     pub obeyed: bool,
 }
 
+/// Held memory with the expiry of its hold.
 #[derive(Clone, Debug)]
-struct Kept {
+struct HeldMemory {
     hold: Hold,
     until_ms: MonoMs,
 }
@@ -37,7 +38,7 @@
     loading: Option<(LoadedModel, MonoMs)>,
     load_ms: SpanMs,
     broken_versions: Vec<u64>,
-    holds: Vec<Kept>,
+    holds: Vec<HeldMemory>,
     lose_answers: u32,
     events: Vec<EngineEvent>,
 }
@@ -71,7 +72,7 @@
         }
     }
 
-    /// The port of one node, whose orders leave `send_ms` after they were handed over.
+    /// Returns the port of one node, whose orders leave `send_ms` after they were handed over.
     pub fn port(&self, send_ms: Rc<Cell<u64>>) -> Rc<dyn EnginePort> {
         Rc::new(Port {
             engine: self.clone(),
@@ -79,7 +80,7 @@
         })
     }
 
-    /// The version of `m` that is served; none while one is loaded.
+    /// Returns the version of `m` that is served; `None` while one is being loaded.
     pub fn serves(&self, now_ms: MonoMs) -> Option<u64> {
         let mut state = self.state.borrow_mut();
         state.advance(now_ms);
@@ -91,29 +92,30 @@
         self.state.borrow().events.clone()
     }
 
-    /// Versions that are never loaded whole.
+    /// Makes loads of these versions never complete.
     pub fn break_versions(&self, versions: &[u64]) {
         self.state.borrow_mut().broken_versions = versions.to_vec();
     }
 
-    /// The next orders take effect, but their answers are lost.
+    /// Loses the answers of the next `count` orders, which take effect.
     pub fn lose_answers(&self, count: u32) {
         self.state.borrow_mut().lose_answers = count;
     }
 
-    /// Keeps memory for `hold.owner` until the instant, and longer if the engine fails to free it.
-    pub fn keep(&self, hold: Hold, until_ms: MonoMs) {
+    /// Holds memory for `hold.owner` with an expiry of `until_ms`. The engine does not free it by
+    /// itself.
+    pub fn hold_memory(&self, hold: Hold, until_ms: MonoMs) {
         let holds = &mut self.state.borrow_mut().holds;
-        holds.retain(|kept| kept.hold.request != hold.request);
-        holds.push(Kept { hold, until_ms });
+        holds.retain(|held| held.hold.request != hold.request);
+        holds.push(HeldMemory { hold, until_ms });
     }
 
-    pub fn kept(&self) -> Vec<RequestId> {
+    pub fn held_requests(&self) -> Vec<RequestId> {
         let state = self.state.borrow();
-        state.holds.iter().map(|kept| kept.hold.request).collect()
+        state.holds.iter().map(|held| held.hold.request).collect()
     }
 
-    /// The state as a node with that clock sees it.
+    /// Returns the time on the clock of the calling node.
     fn now_ms(&self, core: &Core) -> MonoMs {
         let since = core.now().saturating_duration_since(self.origin);
         MonoMs(since.as_millis() as u64)
@@ -167,7 +169,7 @@
             EngineOrder::SetRole { .. } => (),
             EngineOrder::Reclaim { owner, request } => self
                 .holds
-                .retain(|kept| (kept.hold.owner, kept.hold.request) != (owner, request)),
+                .retain(|held| (held.hold.owner, held.hold.request) != (owner, request)),
         }
         self.answer(true)
     }
@@ -197,9 +199,9 @@
 impl EnginePort for Port {
     fn holds(&self, core: &mut Core, ret: Ret<Result<Vec<Hold>, Error>>) {
         self.read(core, ret, |state, now_ms| {
-            let list = state.holds.iter().map(|kept| Hold {
-                expires_ms: kept.until_ms.since(now_ms),
-                ..kept.hold.clone()
+            let list = state.holds.iter().map(|held| Hold {
+                expires_ms: held.until_ms.since(now_ms),
+                ..held.hold.clone()
             });
             list.collect()
         });
@@ -221,7 +223,7 @@
             let lost = state.lose_answers > 0;
             state.lose_answers = state.lose_answers.saturating_sub(1);
             let answer = match lost {
-                true => Err(Error::may_have_run(ErrorKind::Upstream, "broken")),
+                true => Err(Error::may_have_run(ErrorKind::Upstream, "answer lost")),
                 false => Ok(answer),
             };
             core.after(LATENCY_MS.into(), move |_| ret.ret(answer));
@@ -236,11 +238,11 @@
     }
 
     fn generate(&self, _: &mut Core, _: Generate, _: Fwd<Event>) {
-        unreachable!("a coordinator generates nothing")
+        unreachable!("a coordinator sends no generate requests")
     }
 
     fn resume(&self, _: &mut Core, _: Resume, _: Fwd<Event>) {
-        unreachable!("a coordinator resumes nothing")
+        unreachable!("a coordinator sends no resume requests")
     }
 
     fn cancel(
@@ -251,30 +253,30 @@
         _: Incarnation,
         _: Ret<Result<CancelAnswer, Error>>,
     ) {
-        unreachable!("a coordinator cancels nothing")
+        unreachable!("a coordinator sends no cancel requests")
     }
 
     fn lookup(&self, _: &mut Core, _: RequestId, _: Ret<Result<StreamState, Error>>) {
-        unreachable!("a coordinator looks nothing up")
+        unreachable!("a coordinator sends no stream lookups")
     }
 
     fn load(&self, _: &mut Core, _: Ret<Result<LoadReport, Error>>) {
-        unreachable!("a coordinator asks for no load")
+        unreachable!("a coordinator requests no load reports")
     }
 
     fn cache_events(&self, _: &mut Core, _: u64, _: Ret<Result<CacheEvents, Error>>) {
-        unreachable!("a coordinator asks for no cache events")
+        unreachable!("a coordinator requests no cache events")
     }
 
     fn reserve(&self, _: &mut Core, _: Reserve, _: Ret<Result<(), Error>>) {
-        unreachable!("a coordinator reserves nothing")
+        unreachable!("a coordinator sends no reservations")
     }
 
     fn release(&self, _: &mut Core, _: ReservationId, _: Incarnation, _: Ret<Result<(), Error>>) {
-        unreachable!("a coordinator releases nothing")
+        unreachable!("a coordinator releases no reservations")
     }
 
     fn transfer(&self, _: &mut Core, _: RequestId, _: &Address, _: Ret<Result<Tokens, Error>>) {
-        unreachable!("a coordinator transfers nothing")
+        unreachable!("a coordinator requests no transfers")
     }
 }
--- a/crates/control/tests/support/faults.rs
+++ b/crates/control/tests/support/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the platform and of processes.
+//! Injection of faults of the platform and of processes.
 
 use super::*;
 
@@ -9,7 +9,7 @@
         model.change_vms(now_ms, change).expect("a listed VM");
     }
 
-    /// The weight store holds these versions of model `m`, and gives them at 4 GB/s to all.
+    /// Puts these versions of model `m` into the weight store, which has a total rate of 4 GB/s.
     pub fn put_weights(&mut self, versions: &[u64]) {
         for version in versions {
             self.model.borrow_mut().put_weights(WeightInfo {
@@ -21,12 +21,12 @@
         }
     }
 
-    /// The log, the list and the weight store refuse all calls.
+    /// Sets whether the log, the list and the weight store refuse all calls.
     pub fn set_platform_down(&mut self, down: bool) {
         self.model.borrow_mut().faults.down = down;
     }
 
-    /// The log refuses all calls; the list and the weight store go on.
+    /// Sets whether the log refuses all calls. The list and the weight store continue to answer.
     pub fn set_log_down(&mut self, down: bool) {
         let rules = &mut self.model.borrow_mut().faults.rules;
         rules.retain(|rule| rule.client.is_some());
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Strikes the next calls of one node to the platform.
+    /// Injects a fault into the next `calls` calls of one node to the platform.
     pub fn add_fault(&mut self, index: usize, operation: Operation, calls: u32, fault: Fault) {
         let rule = FaultRule {
             operation: Some(operation),
@@ -52,8 +52,9 @@
         self.model.borrow_mut().faults.rules.push(rule);
     }
 
-    /// Lets a node renew right now, so that it appends nothing for its leases for a while.
-    pub fn mute_leases(&mut self, index: usize) {
+    /// Runs the fleet until a node has renewed its leases, so that its next renewal is some seconds
+    /// away.
+    pub fn run_past_renewal(&mut self, index: usize) {
         let end = self.leases_end();
         let holder = format!("\"holder\":{}", self.nodes[index].incarnation.0);
         let end_ms = self.now_ms + SpanMs::from_secs(10);
@@ -68,33 +69,33 @@
         }
     }
 
-    /// Appends a text to the config stream past all nodes.
+    /// Appends a text to the config stream without a node.
     pub fn append_config(&mut self, text: &str) {
         let now_ms = WallMs(self.now_ms.0);
         let stream = self.settings.config_stream.clone();
         let mut model = self.model.borrow_mut();
         model
             .append(now_ms, &stream, &[text.into()], false)
-            .expect("the log takes it");
+            .expect("the log accepts the record");
     }
 
     /// Ends a node's process without warning.
     pub fn kill(&mut self, index: usize) {
-        self.set_life(index, Life::Dead);
+        self.set_state(index, ProcessState::Dead);
     }
 
     pub fn pause(&mut self, index: usize) {
-        self.set_life(index, Life::Paused);
+        self.set_state(index, ProcessState::Paused);
     }
 
     pub fn resume(&mut self, index: usize) {
-        self.set_life(index, Life::Running);
+        self.set_state(index, ProcessState::Running);
     }
 
-    pub(super) fn set_life(&mut self, index: usize, life: Life) {
+    pub(super) fn set_state(&mut self, index: usize, state: ProcessState) {
         let node = &mut self.nodes[index];
-        node.life = life;
+        node.state = state;
         let mut net = self.net.borrow_mut();
-        net.set_dead(&node.address, life == Life::Dead);
+        net.set_dead(&node.address, state == ProcessState::Dead);
     }
 }
--- a/crates/control/tests/support/mod.rs
+++ b/crates/control/tests/support/mod.rs
@@ -1,14 +1,14 @@
-//! Several nodes with the production actors on one platform, under virtual time.
+//! A fleet of nodes with the production actors on one platform, under virtual time.
 //!
-//! Each node has a `Stakker` of its own, so that a pause is what it is for a process: nothing of
-//! it runs, and when it goes on, its clock has jumped.
+//! Each node has a `Stakker` of its own, so that a pause acts as on a process: nothing of the node
+//! runs, and its clock has jumped when it resumes.
 #![allow(dead_code, unused_imports)]
 
-mod ask;
 mod counting;
 mod engine;
 mod faults;
 mod network;
+mod query;
 mod spawn;
 
 use bluebell_base::prelude::*;
@@ -35,7 +35,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A configuration with one class whose end target tells versions apart.
+/// Returns a configuration with one class, whose end target distinguishes versions.
 pub fn config_text(end_ms: u64) -> Arc<str> {
     format!(
         r#"{{"classes":[{{"name":"draft","first_token":[{{"within_ms":600}}],"end_ms":{end_ms},
@@ -44,7 +44,7 @@
     .into()
 }
 
-/// A configuration of about `bytes` bytes.
+/// Returns a configuration of about `bytes` bytes.
 pub fn large_config_text(end_ms: u64, bytes: usize) -> Arc<str> {
     let account = |i| format!(r#"{{"name":"account-{i}","key_sha256":"{i:064x}"}}"#);
     let accounts: Vec<String> = (0..bytes / 105).map(account).collect();
@@ -54,35 +54,36 @@
         .into()
 }
 
-/// Whether a node's code runs.
+/// The state of a node's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum ProcessState {
     Running,
     Paused,
     Dead,
 }
 
-pub type Seen<T> = Rc<RefCell<Vec<(MonoMs, T)>>>;
+/// Events with the time of each on the node's clock.
+pub type TimedEvents<T> = Rc<RefCell<Vec<(MonoMs, T)>>>;
 
-/// One node.
+/// A node of the fleet.
 pub struct Node {
     pub stakker: Stakker,
     pub control: ActorOwn<Control>,
     pub members: ActorOwn<Members>,
-    pub events: Seen<ControlEvent>,
-    pub member_events: Seen<MemberEvent>,
-    /// Until when the node believes to hold which duty, on its own clock.
+    pub events: TimedEvents<ControlEvent>,
+    pub member_events: TimedEvents<MemberEvent>,
+    /// The duties announced to the node as held, with the end of each on its own clock.
     pub held: Rc<RefCell<BTreeMap<Duty, MonoMs>>>,
-    /// How fast its clock runs.
+    /// The rate of its clock relative to virtual time.
     pub rate: f64,
-    /// How long after it is handed over an order leaves the node.
+    /// The time in milliseconds between the handover of an order and its departure from the node.
     pub send_ms: Rc<Cell<u64>>,
-    /// Its traffic with the platform.
+    /// The node's traffic with the platform.
     pub counts: Counts,
     pub incarnation: Incarnation,
     pub address: Address,
     pub name: VmName,
-    pub life: Life,
+    pub state: ProcessState,
 }
 
 /// The fleet.
@@ -94,11 +95,11 @@
     pub net: Rc<RefCell<Network>>,
     /// The engines, by name.
     pub engines: Rc<RefCell<BTreeMap<UpstreamName, Engine>>>,
-    /// Engines that live on one node's clock, for fleets of one node.
+    /// Engines that run on the clock of one node, for fleets of one node.
     pub ports: Rc<RefCell<BTreeMap<UpstreamName, Rc<dyn EnginePort>>>>,
     pub settings: ControlSettings,
     pub members_settings: MembersSettings,
-    /// How fast the clocks of nodes started from now on run.
+    /// The clock rate of nodes started from now on.
     pub next_rate: f64,
     seed: u64,
     started: u64,
@@ -134,18 +135,18 @@
         fleet
     }
 
-    /// A node's own time at this instant.
+    /// Returns the time now on a clock of the given rate.
     fn local(&self, rate: f64) -> Instant {
         self.origin + Duration::from_millis(self.now_ms.0).mul_f64(rate)
     }
 
-    /// Lets the fleet run for a while.
+    /// Runs the fleet for `span_ms` milliseconds.
     pub fn run_ms(&mut self, span_ms: u64) {
         let end_ms = self.now_ms + SpanMs(span_ms);
         self.run_until(end_ms, |_| false);
     }
 
-    /// Lets the fleet run until `done`; `false` where the time is over before.
+    /// Runs the fleet until `done` returns true. Returns false if `end_ms` is reached before.
     pub fn run_until(&mut self, end_ms: MonoMs, mut done: impl FnMut(&mut Fleet) -> bool) -> bool {
         loop {
             self.run_nodes();
@@ -159,13 +160,13 @@
         }
     }
 
-    /// Runs all nodes twice at this instant, so that what one hands another is taken in.
+    /// Runs all nodes twice at this time, so that each processes what the others send to it.
     fn run_nodes(&mut self) {
         for _ in 0..2 {
             for index in 0..self.nodes.len() {
                 let now = self.local(self.nodes[index].rate);
                 let node = &mut self.nodes[index];
-                if node.life == Life::Running {
+                if node.state == ProcessState::Running {
                     node.stakker.run(now, false);
                 }
             }
@@ -173,14 +174,14 @@
         self.check_holders();
     }
 
-    /// No two running nodes may believe to hold one duty.
+    /// Panics if two running nodes hold the same duty according to their own clocks and events.
     fn check_holders(&self) {
         let mut holders: BTreeMap<Duty, usize> = BTreeMap::new();
         for (index, node) in self.nodes.iter().enumerate() {
-            if node.life != Life::Running {
+            if node.state != ProcessState::Running {
                 continue;
             }
-            for duty in self.believed(index) {
+            for duty in self.held_duties(index) {
                 if let Some(other) = holders.insert(duty, index) {
                     panic!(
                         "{duty:?} is held by nodes {other} and {index} at {}",
@@ -193,7 +194,10 @@
 
     fn next_ms(&mut self) -> MonoMs {
         let origin = self.origin;
-        let running = self.nodes.iter_mut().filter(|n| n.life == Life::Running);
+        let running = self
+            .nodes
+            .iter_mut()
+            .filter(|n| n.state == ProcessState::Running);
         let next = running.filter_map(|node| {
             let at = node.stakker.next_expiry()?;
             let span = at.saturating_duration_since(origin).div_f64(node.rate);
--- a/crates/control/tests/support/network.rs
+++ b/crates/control/tests/support/network.rs
@@ -1,4 +1,4 @@
-//! Calls between the nodes of a test, with cuts, losses and a count of bytes.
+//! Calls between the nodes of a test, with partitions, delays and counters.
 
 use bluebell_base::prelude::*;
 use bluebell_peers::{PeerAnswer, PeerCall, PeerPort};
@@ -13,7 +13,7 @@
 const LATENCY_MS: SpanMs = SpanMs(1);
 const TIMEOUT_MS: SpanMs = SpanMs(1_000);
 
-/// What all nodes share.
+/// The network that all nodes share.
 #[derive(Default)]
 pub struct Network {
     handlers: BTreeMap<Address, Handler>,
@@ -22,11 +22,11 @@
     pub cut: BTreeSet<Address>,
     /// Pairs of nodes that can't reach each other.
     pub cut_pairs: BTreeSet<(Address, Address)>,
-    /// How much later calls for the configuration arrive, by whom they are for.
+    /// The additional delays of requests for the configuration, by destination.
     pub config_delays: BTreeMap<Address, SpanMs>,
-    /// Bytes of JSON sent and received, by address.
+    /// The bytes of JSON sent and received, by address.
     pub bytes: BTreeMap<Address, u64>,
-    /// Calls made, by address.
+    /// The calls sent, by address.
     pub calls: BTreeMap<Address, u64>,
 }
 
@@ -61,10 +61,10 @@
 
     fn handler(&self, from: &Address, to: &Address) -> Option<Handler> {
         let pair = |a: &Address, b: &Address| (a.clone(), b.clone());
-        let apart =
+        let separated =
             self.cut_pairs.contains(&pair(from, to)) || self.cut_pairs.contains(&pair(to, from));
         let cut =
-            apart || self.cut.contains(from) || self.cut.contains(to) || self.dead.contains(to);
+            separated || self.cut.contains(from) || self.cut.contains(to) || self.dead.contains(to);
         self.handlers.get(to).filter(|_| !cut).cloned()
     }
 }
--- a/crates/control/tests/support/ask.rs
+++ b/crates/control/tests/support/query.rs
@@ -1,4 +1,4 @@
-//! What the nodes and the log say.
+//! Queries of the state of the nodes and of the log.
 
 use super::*;
 
@@ -13,7 +13,7 @@
         cell.take().expect("an answer")
     }
 
-    /// Publishes through a node; the answer comes into the cell.
+    /// Publishes through a node. The returned cell receives the answer.
     pub fn publish(
         &mut self,
         index: usize,
@@ -55,7 +55,7 @@
         cell.take().expect("an answer")
     }
 
-    /// The version and text in force on a node.
+    /// Returns the version and the text in force on a node.
     pub fn in_force(&mut self, index: usize) -> (ConfigVersion, Arc<str>) {
         let cell = Rc::new(RefCell::new(None));
         let slot = cell.clone();
@@ -76,7 +76,7 @@
         cell.take().expect("an answer")
     }
 
-    /// The versions that came into force on a node, in order.
+    /// Returns the versions that came into force on a node, in order.
     pub fn versions(&self, index: usize) -> Vec<ConfigVersion> {
         let events = self.nodes[index].events.borrow();
         let version = |(_, event): &(MonoMs, ControlEvent)| match event {
@@ -86,8 +86,8 @@
         events.iter().filter_map(version).collect()
     }
 
-    /// The duties that a node believes to hold at this instant.
-    pub fn believed(&self, index: usize) -> Vec<Duty> {
+    /// Returns the duties that a node holds now according to its own clock and events.
+    pub fn held_duties(&self, index: usize) -> Vec<Duty> {
         let node = &self.nodes[index];
         let now = self.local(node.rate).duration_since(self.origin);
         let now_ms = MonoMs(now.as_millis() as u64);
@@ -96,16 +96,16 @@
         valid.map(|(duty, _)| *duty).collect()
     }
 
-    /// Whether a node believes at this instant that it holds the duty.
-    pub fn believes(&self, index: usize, duty: Duty) -> bool {
-        self.believed(index).contains(&duty)
+    /// Returns true if a node holds the duty now according to its own clock and events.
+    pub fn holds_duty(&self, index: usize, duty: Duty) -> bool {
+        self.held_duties(index).contains(&duty)
     }
 
-    /// The running nodes that believe to hold the duty.
+    /// Returns the running nodes that hold the duty according to their own clocks and events.
     pub fn running_holders(&self, duty: Duty) -> Vec<usize> {
-        let running = |index: &usize| self.nodes[*index].life == Life::Running;
+        let running = |index: &usize| self.nodes[*index].state == ProcessState::Running;
         let all = (0..self.nodes.len()).filter(running);
-        all.filter(|index| self.believes(*index, duty)).collect()
+        all.filter(|index| self.holds_duty(*index, duty)).collect()
     }
 
     pub(super) fn read_all(&self, stream: &StreamName, from: Offset) -> ReadBatch {
@@ -114,17 +114,17 @@
         model.read(now_ms, stream, from, Bytes(1 << 40))
     }
 
-    /// The end of the config stream.
+    /// Returns the end of the config stream.
     pub fn config_end(&self) -> Offset {
         self.read_all(&self.settings.config_stream, Offset(0)).end
     }
 
-    /// The end of the leases stream.
+    /// Returns the end of the leases stream.
     pub fn leases_end(&self) -> Offset {
         self.read_all(&self.settings.leases_stream, Offset(0)).end
     }
 
-    /// The texts of the leases stream from an offset on.
+    /// Returns the texts of the leases stream from an offset on.
     pub fn leases_from(&self, from: Offset) -> Vec<Arc<str>> {
         let batch = self.read_all(&self.settings.leases_stream, from);
         batch
--- a/crates/control/tests/support/spawn.rs
+++ b/crates/control/tests/support/spawn.rs
@@ -1,9 +1,9 @@
-//! Starting nodes and engines, wired as the node program wires them.
+//! Start of nodes and engines, connected as in the node program.
 
 use super::*;
 
 impl Fleet {
-    /// Starts a node, listed by the platform; gives its index.
+    /// Starts a node that the platform lists. Returns its index.
     pub fn start_node(&mut self) -> usize {
         self.started += 1;
         let number = self.started;
@@ -93,12 +93,12 @@
             incarnation,
             address,
             name,
-            life: Life::Running,
+            state: ProcessState::Running,
         });
         self.nodes.len() - 1
     }
 
-    /// Starts a new process on a dead node's VM, at the same address; gives its index.
+    /// Starts a new process on a dead node's VM, at the same address. Returns its index.
     pub fn restart(&mut self, index: usize) -> usize {
         self.started += 1;
         let (name, address) = (
@@ -143,14 +143,14 @@
     }
 }
 
-/// What passes events on between the actors of one node, and keeps them for the tests.
+/// The part of a node that forwards events between its actors and records them for the tests.
 struct Hub {
     timers: Timers,
     engines: Rc<RefCell<BTreeMap<UpstreamName, Engine>>>,
     ports: Rc<RefCell<BTreeMap<UpstreamName, Rc<dyn EnginePort>>>>,
     send_ms: Rc<Cell<u64>>,
-    events: Seen<ControlEvent>,
-    member_events: Seen<MemberEvent>,
+    events: TimedEvents<ControlEvent>,
+    member_events: TimedEvents<MemberEvent>,
     held: Rc<RefCell<BTreeMap<Duty, MonoMs>>>,
     control: RefCell<Option<Actor<Control>>>,
     members: RefCell<Option<Actor<Members>>>,
@@ -213,16 +213,17 @@
 
     fn on_call(&self, call: PeerCall, ret: Ret<Result<PeerAnswer, Error>>) {
         let (control, members) = (self.control(), self.members());
-        let ret = some(ret);
+        let ret = answer_only(ret);
         match call {
             PeerCall::Probe { card, leaving } => call!([members], on_probe(card, leaving, ret)),
             PeerCall::Config { have } => call!([control], peer_config(have, ret)),
-            other => panic!("no such call in these tests: {other:?}"),
+            other => panic!("unexpected peer call: {other:?}"),
         }
     }
 }
 
-/// Hands events to the hub on the node's own thread of control, with the time they came.
+/// Returns a forwarder that hands events to the hub on the node's own `Stakker`, with the time at
+/// which they arrived.
 fn forward<E: Clone + 'static>(
     stakker: &Stakker,
     hub: &Rc<Hub>,
@@ -235,8 +236,9 @@
     })
 }
 
-/// Takes a plain answer to a call whose answer may be an error; a dropped one stays unanswered.
-fn some(ret: Ret<Result<PeerAnswer, Error>>) -> Ret<PeerAnswer> {
+/// Converts a `Ret` for a result to one for a plain answer. A dropped answer leaves the call
+/// unanswered.
+fn answer_only(ret: Ret<Result<PeerAnswer, Error>>) -> Ret<PeerAnswer> {
     Ret::new(move |answer: Option<PeerAnswer>| {
         if let Some(answer) = answer {
             ret.ret(Ok(answer));
