--- a/crates/policy/src/baseline/mod.rs
+++ b/crates/policy/src/baseline/mod.rs
@@ -1,4 +1,4 @@
-//! The baselines: simple placements, first come first served, with no admission control.
+//! The baseline policies: simple placement rules in order of arrival, without admission control.
 
 use crate::groups::{self, Offer};
 use crate::job::{Decision, EngineFacts, Job, Outcome, Refusal, RefusalReason};
@@ -11,24 +11,25 @@
 use bluebell_upstreams::{LoadReport, Priority, engine::CacheEvent};
 use std::fmt::Write;
 
-/// When to come back where no engine serves the model.
+/// Retry time of a refusal when no engine serves the model.
 const NO_ENGINE_RETRY_MS: SpanMs = SpanMs(1_000);
 
-/// A policy that places each job at once by one simple rule.
+/// A policy that places each job immediately by one simple rule.
 pub struct Baseline {
     settings: PolicySettings,
     tables: Tables,
-    next: u64,
+    rotation: u64,
     due: Vec<Slot>,
 }
 
 impl Baseline {
-    /// Opens the baseline that the settings name; the seed says where the round begins.
+    /// Creates the baseline that the settings select. The rotation over the engines starts at
+    /// `seed`.
     pub fn open(settings: PolicySettings, seed: u64) -> Self {
         Self {
             tables: Tables::open(&settings),
             settings,
-            next: seed,
+            rotation: seed,
             due: Vec::new(),
         }
     }
@@ -48,17 +49,17 @@
         if list.is_empty() {
             return None;
         }
-        self.next = self.next.wrapping_add(1);
-        let begin = (self.next % list.len() as u64) as usize;
+        self.rotation = self.rotation.wrapping_add(1);
+        let begin = (self.rotation % list.len() as u64) as usize;
         let rotated = list[begin..].iter().chain(&list[..begin]).copied();
         match self.settings.kind {
-            Kind::LeastRequests => rotated.min_by_key(|id| self.requests(*id)),
-            Kind::LeastTokens => rotated.min_by_key(|id| self.tokens(*id, now_ms)),
+            Kind::LeastRequests => rotated.min_by_key(|id| self.outstanding_requests(*id)),
+            Kind::LeastTokens => rotated.min_by_key(|id| self.outstanding_tokens(*id, now_ms)),
             _ => rotated.into_iter().next(),
         }
     }
 
-    fn requests(&self, upstream: UpstreamId) -> u64 {
+    fn outstanding_requests(&self, upstream: UpstreamId) -> u64 {
         let Some(engine) = self.tables.fleet.get(upstream) else {
             return u64::MAX;
         };
@@ -67,7 +68,7 @@
         reported + engine.in_flight.iter().filter(sent_since).count() as u64
     }
 
-    fn tokens(&self, upstream: UpstreamId, now_ms: MonoMs) -> u64 {
+    fn outstanding_tokens(&self, upstream: UpstreamId, now_ms: MonoMs) -> u64 {
         let Some(engine) = self.tables.fleet.get(upstream) else {
             return u64::MAX;
         };
@@ -108,15 +109,15 @@
 
 impl Policy for Baseline {
     fn engine_updated(&mut self, facts: EngineFacts, now_ms: MonoMs) {
-        self.tables.fleet.seen(facts, now_ms);
+        self.tables.fleet.upsert(facts, now_ms);
     }
 
     fn engine_leaving(&mut self, upstream: UpstreamId, _now_ms: MonoMs) {
-        self.tables.fleet.leaving(upstream);
+        self.tables.fleet.mark_leaving(upstream);
     }
 
     fn engine_gone(&mut self, upstream: UpstreamId, _now_ms: MonoMs) {
-        self.tables.gone(upstream);
+        self.tables.remove_engine(upstream);
     }
 
     fn on_load(&mut self, upstream: UpstreamId, report: &LoadReport, now_ms: MonoMs) {
@@ -134,7 +135,7 @@
                 retry_after_ms: NO_ENGINE_RETRY_MS,
             });
         }
-        if fleet.largest_group(job.model) < job.kv_tokens() {
+        if fleet.largest_group_tokens(job.model) < job.kv_tokens() {
             return Err(Refusal {
                 reason: RefusalReason::TooLong,
                 retry_after_ms: NO_ENGINE_RETRY_MS,
@@ -163,7 +164,7 @@
     }
 
     fn withdraw(&mut self, request: RequestId, _now_ms: MonoMs) {
-        self.tables.take(request);
+        self.tables.remove(request);
     }
 
     fn on_accepted(
@@ -184,11 +185,11 @@
     }
 
     fn on_first_token(&mut self, request: RequestId, now_ms: MonoMs) {
-        self.tables.first_token(request, now_ms);
+        self.tables.on_first_token(request, now_ms);
     }
 
     fn on_end(&mut self, request: RequestId, outcome: Outcome, now_ms: MonoMs) {
-        self.tables.end(request, outcome, now_ms);
+        self.tables.on_end(request, outcome, now_ms);
     }
 
     fn set_config(&mut self, _config: &FleetConfig, _now_ms: MonoMs) {}
@@ -210,7 +211,7 @@
 impl Baseline {
     fn refuse(&mut self, slot: Slot) -> Option<Decision> {
         let request = self.tables.jobs.get(slot)?.job.request;
-        self.tables.take(request);
+        self.tables.remove(request);
         Some(Decision::Refuse {
             request,
             refusal: Refusal {
--- a/crates/policy/src/cache/mod.rs
+++ b/crates/policy/src/cache/mod.rs
@@ -1,7 +1,9 @@
-//! What is believed of the engines' prefix caches, from events that come late and with gaps.
+//! Estimated contents of the engines' prefix caches. They are derived from cache events, which
+//! arrive late and sometimes with gaps.
 //!
-//! Invariants: at most [`CAPACITY`] prefixes are kept, the oldest forgotten first; after a gap
-//! nothing is believed of that engine; a wrong belief costs time only, never correctness.
+//! Invariants: at most [`MAX_PREFIXES`] prefixes are kept, and the oldest is dropped first; after a
+//! gap nothing is assumed of that engine's cache; a wrong estimate costs time but never makes an
+//! answer wrong.
 
 #[cfg(test)]
 mod tests;
@@ -11,12 +13,12 @@
 use bluebell_upstreams::engine::CacheEvent;
 use std::collections::{HashMap, VecDeque};
 
-/// The most prefixes kept.
-const CAPACITY: usize = 8_192;
-/// The most engines remembered for one prefix.
-const HOLDERS: usize = 8;
+/// Maximum number of prefixes kept.
+const MAX_PREFIXES: usize = 8_192;
+/// Maximum number of engines kept for one prefix.
+const MAX_HOLDERS: usize = 8;
 
-/// The believed holders of prefixes.
+/// Engines that are expected to hold each prefix.
 #[derive(Debug, Default)]
 pub struct CacheView {
     holders: HashMap<u64, Vec<UpstreamId>>,
@@ -24,7 +26,8 @@
 }
 
 impl CacheView {
-    /// Takes events in; a gap makes all that was believed of the engine void.
+    /// Applies cache events. After a gap, all that was known of the engine's cache is dropped
+    /// first.
     pub fn on_events(&mut self, upstream: UpstreamId, events: &[CacheEvent], gap: bool) {
         if gap {
             self.forget(upstream);
@@ -38,16 +41,16 @@
         }
     }
 
-    /// Forgets all that was believed of an engine.
+    /// Drops all that is known of an engine's cache.
     pub fn forget(&mut self, upstream: UpstreamId) {
         for holders in self.holders.values_mut() {
             holders.retain(|held_by| *held_by != upstream);
         }
     }
 
-    /// Adds the engines whose caches are believed to cover a part of the prompt, with its length.
-    /// A cache that holds a prefix holds the shorter ones too, so that the first one that nobody
-    /// holds ends the search.
+    /// Fills `out` with the engines whose caches are expected to cover a part of the prompt, and
+    /// the length of that part. A cache that holds a prefix also holds all shorter ones, so the
+    /// search ends at the first prefix that no engine holds.
     pub fn covering(&self, prefixes: &[Prefix], out: &mut Vec<(UpstreamId, Tokens)>) {
         out.clear();
         for prefix in prefixes {
@@ -63,21 +66,21 @@
         }
     }
 
-    /// How many prefixes are kept, and how many are in the order of forgetting.
+    /// Returns the number of prefixes in the map and in the list by age.
     pub fn sizes(&self) -> (usize, usize) {
         (self.holders.len(), self.order.len())
     }
 
     fn stored(&mut self, upstream: UpstreamId, hash: u64) {
         if !self.holders.contains_key(&hash) {
-            self.make_room();
+            self.drop_oldest();
             self.order.push_back(hash);
         }
         let holders = self.holders.entry(hash).or_default();
         if holders.contains(&upstream) {
             return;
         }
-        if holders.len() == HOLDERS {
+        if holders.len() == MAX_HOLDERS {
             holders.remove(0);
         }
         holders.push(upstream);
@@ -89,8 +92,8 @@
         }
     }
 
-    fn make_room(&mut self) {
-        while self.order.len() >= CAPACITY {
+    fn drop_oldest(&mut self) {
+        while self.order.len() >= MAX_PREFIXES {
             if let Some(oldest) = self.order.pop_front() {
                 self.holders.remove(&oldest);
             }
--- a/crates/policy/src/cache/tests.rs
+++ b/crates/policy/src/cache/tests.rs
@@ -1,6 +1,7 @@
-//! The view of the caches: bounded, forgetful after gaps, and sure of whole beginnings only.
+//! The view of the caches is bounded, drops its contents after gaps, and counts only prefixes that
+//! are held without interruption.
 
-use super::{CAPACITY, CacheView};
+use super::{CacheView, MAX_PREFIXES};
 use crate::job::Prefix;
 use bluebell_base::prelude::*;
 use bluebell_upstreams::engine::CacheEvent;
@@ -25,17 +26,17 @@
 }
 
 #[test]
-fn it_keeps_a_bounded_number_of_prefixes() {
+fn the_number_of_prefixes_is_bounded() {
     let mut view = CacheView::default();
-    for hash in 0..3 * CAPACITY as u64 {
+    for hash in 0..3 * MAX_PREFIXES as u64 {
         view.on_events(UpstreamId(0), &[event(hash, true)], false);
     }
-    assert_eq!(view.sizes(), (CAPACITY, CAPACITY));
+    assert_eq!(view.sizes(), (MAX_PREFIXES, MAX_PREFIXES));
     assert_eq!(covering(&view, &[0]), []);
 }
 
 #[test]
-fn what_is_covered_ends_at_the_first_prefix_that_nobody_holds() {
+fn coverage_ends_at_the_first_prefix_that_no_engine_holds() {
     let mut view = CacheView::default();
     let stored = [event(1, true), event(2, true), event(4, true)];
     view.on_events(UpstreamId(7), &stored, false);
@@ -47,9 +48,9 @@
     assert_eq!(covering(&view, &[1, 2]), [(UpstreamId(7), Tokens(512))]);
 }
 
-/// Events were lost: an eviction may be among them, so nothing is believed of that engine.
+/// An eviction may be among the lost events, so nothing may be assumed of that engine's cache.
 #[test]
-fn a_gap_makes_beliefs_of_that_engine_void() {
+fn a_gap_clears_the_prefixes_of_that_engine() {
     let mut view = CacheView::default();
     view.on_events(UpstreamId(1), &[event(1, true)], false);
     view.on_events(UpstreamId(2), &[event(1, true)], false);
--- a/crates/policy/src/fleet/mod.rs
+++ b/crates/policy/src/fleet/mod.rs
@@ -1,10 +1,12 @@
-//! The table of engines: facts, late reports, and what this node sent since.
+//! The table of engines: their properties, their late reports, and the work that this node has sent
+//! since.
 //!
-//! Terms: the *backlog* is prefill work not done; the *rank* orders engines the same way at every
-//! node; an engine is *open* where it takes new work.
+//! Terms: the *backlog* is prefill work that is not done; the *rank* gives the engines the same
+//! order at every node; an engine is *open* if it accepts new work.
 //!
-//! Invariants: a model's list holds exactly the open engines that serve it, by rank; an engine's
-//! in-flight list holds exactly the jobs that this node sent there and that have not ended.
+//! Invariants: a model's list holds exactly the open engines that serve it, ordered by rank; an
+//! engine's in-flight list holds exactly the jobs that this node sent there and that have not
+//! ended.
 
 mod busy;
 mod engine;
@@ -20,121 +22,123 @@
 use bluebell_base::prelude::*;
 use bluebell_upstreams::LoadReport;
 
-/// An engine is an outlier where its rate is below this share of the mean.
-const OUTLIER: f64 = 0.4;
-/// The weight of a report in the mean duration of a step.
-const STEP_GAIN: f64 = 0.01;
-/// Work counts as alone on its engine with less than this share of its own tokens ahead.
-const ALONE: f64 = 0.1;
-/// So many samples must have shown it.
-const OUTLIER_SAMPLES: u64 = 5;
+/// Share of the mean prefill rate below which an engine is an outlier.
+const OUTLIER_RATE_SHARE: f64 = 0.4;
+/// Weight of a report in the mean duration of a step.
+const STEP_MEAN_GAIN: f64 = 0.01;
+/// Maximum work ahead of a job that counts as alone on its engine, as a share of the job's own
+/// tokens.
+const MAX_AHEAD_SHARE: f64 = 0.1;
+/// Minimum number of samples before an engine can be an outlier.
+const MIN_OUTLIER_SAMPLES: u64 = 5;
 
 /// The table of engines.
 #[derive(Debug)]
 pub struct Fleet {
     engines: Vec<Option<Engine>>,
     by_model: Vec<Vec<UpstreamId>>,
-    sizes: Vec<Sizes>,
+    kv_limits: Vec<KvLimits>,
     group_parts: usize,
     mean: CostModel,
     mean_step_ms: f64,
 }
 
-/// The most memory that engines of one model have, when they are empty.
+/// Memory of the engines of one model when they are empty: that of the largest engine and that of
+/// the largest group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Sizes {
-    one: Tokens,
+struct KvLimits {
+    one_engine: Tokens,
     group: Tokens,
 }
 
 impl Fleet {
-    /// An empty table whose engines begin with the cost model given.
+    /// Creates an empty table. Engines start with the given cost model.
     pub fn open(prior: CostModel, group_parts: usize) -> Self {
         Self {
             engines: Vec::new(),
             by_model: Vec::new(),
-            sizes: Vec::new(),
+            kv_limits: Vec::new(),
             group_parts,
             mean: prior,
             mean_step_ms: 0.0,
         }
     }
 
-    /// What was learned of all engines together.
+    /// Returns the cost model learned from all engines together.
     pub fn mean_cost(&self) -> CostModel {
         self.mean
     }
 
-    /// An engine's own cost model where it is clearly slower than the fleet's mean, and the mean
-    /// otherwise: engines are alike unless something is wrong, and the small differences that a
-    /// few samples show would send work to whichever engine was lucky last.
-    pub fn trusted_cost(&self, engine: &Engine) -> CostModel {
-        let known = engine.cost.samples >= OUTLIER_SAMPLES;
-        if known && engine.cost.prefill_per_s < self.mean.prefill_per_s * OUTLIER {
+    /// Returns the engine's own cost model if it is clearly slower than the fleet's mean, and the
+    /// mean otherwise. Engines are equally fast unless something is wrong. The small differences
+    /// shown by a few samples would send work to whichever engine had the best recent sample.
+    pub fn effective_cost(&self, engine: &Engine) -> CostModel {
+        let known = engine.cost.samples >= MIN_OUTLIER_SAMPLES;
+        if known && engine.cost.prefill_per_s < self.mean.prefill_per_s * OUTLIER_RATE_SHARE {
             return engine.cost;
         }
         self.mean
     }
 
-    /// The mean duration of the engines' steps, as reported.
+    /// Returns the mean duration of the engines' steps in milliseconds, from their reports.
     pub fn mean_step_ms(&self) -> f64 {
         self.mean_step_ms
     }
 
-    /// Takes a load report in.
+    /// Records a load report.
     pub fn on_load(&mut self, upstream: UpstreamId, report: &LoadReport, now_ms: MonoMs) {
         if report.step_ms > 0.0 {
-            self.mean_step_ms += STEP_GAIN * (report.step_ms - self.mean_step_ms);
+            self.mean_step_ms += STEP_MEAN_GAIN * (report.step_ms - self.mean_step_ms);
         }
         if let Some(engine) = self.get_mut(upstream) {
             engine.on_load(report, now_ms);
         }
         if report.leaving {
-            self.leaving(upstream);
+            self.mark_leaving(upstream);
         }
     }
 
-    /// The engine, where it is known.
+    /// Returns the engine, if it is known.
     pub fn get(&self, upstream: UpstreamId) -> Option<&Engine> {
         self.engines.get(upstream.index())?.as_ref()
     }
 
-    /// The engine, to change.
+    /// Returns a mutable reference to the engine, if it is known.
     pub fn get_mut(&mut self, upstream: UpstreamId) -> Option<&mut Engine> {
         self.engines.get_mut(upstream.index())?.as_mut()
     }
 
-    /// All known engines.
+    /// Iterates over all known engines.
     pub fn iter(&self) -> impl Iterator<Item = &Engine> {
         self.engines.iter().flatten()
     }
 
-    /// The open engines that serve a model, by rank.
+    /// Returns the open engines that serve a model, ordered by rank.
     pub fn serving(&self, model: ModelId) -> &[UpstreamId] {
         self.by_model.get(model.index()).map_or(&[], Vec::as_slice)
     }
 
-    /// The memory of the largest engine that serves a model.
-    pub fn largest(&self, model: ModelId) -> Tokens {
-        self.sizes
+    /// Returns the memory of the largest engine that serves a model.
+    pub fn largest_engine_tokens(&self, model: ModelId) -> Tokens {
+        self.kv_limits
             .get(model.index())
-            .map_or(Tokens::ZERO, |sizes| sizes.one)
+            .map_or(Tokens::ZERO, |kv_limits| kv_limits.one_engine)
     }
 
-    /// The most memory that a group of engines serving a model has.
-    pub fn largest_group(&self, model: ModelId) -> Tokens {
-        self.sizes
+    /// Returns the largest memory that a group of engines serving a model has.
+    pub fn largest_group_tokens(&self, model: ModelId) -> Tokens {
+        self.kv_limits
             .get(model.index())
-            .map_or(Tokens::ZERO, |sizes| sizes.group)
+            .map_or(Tokens::ZERO, |kv_limits| kv_limits.group)
     }
 
-    /// The models that have a list.
+    /// Iterates over the models that have a list.
     pub fn models(&self) -> impl Iterator<Item = ModelId> {
         (0..self.by_model.len()).map(|i| ModelId(i as u32))
     }
 
-    /// Takes an engine's facts in; a leaving engine that is seen again is open again.
-    pub fn seen(&mut self, facts: EngineFacts, now_ms: MonoMs) {
+    /// Adds an engine or replaces its facts. A leaving engine is open again.
+    pub fn upsert(&mut self, facts: EngineFacts, now_ms: MonoMs) {
         let index = facts.upstream.index();
         if self.engines.len() <= index {
             self.engines.resize_with(index + 1, || None);
@@ -147,30 +151,31 @@
             Some(engine) => engine.update(facts),
             empty => *empty = Some(Engine::new(facts, prior, now_ms)),
         }
-        self.relist();
+        self.rebuild_lists();
     }
 
     /// Closes an engine for new work.
-    pub fn leaving(&mut self, upstream: UpstreamId) {
+    pub fn mark_leaving(&mut self, upstream: UpstreamId) {
         let open = |engine: &&mut Engine| engine.state == State::Open;
         if let Some(engine) = self.get_mut(upstream).filter(open) {
             engine.state = State::Leaving;
-            self.relist();
+            self.rebuild_lists();
         }
     }
 
-    /// Forgets an engine.
-    pub fn gone(&mut self, upstream: UpstreamId) {
+    /// Removes an engine.
+    pub fn remove(&mut self, upstream: UpstreamId) {
         if let Some(slot) = self.engines.get_mut(upstream.index()) {
             *slot = None;
-            self.relist();
+            self.rebuild_lists();
         }
     }
 
-    /// Takes a first token in, for the whole fleet and for its engine.
+    /// Records a first token in the cost models of the fleet and of the engine.
     pub fn learn(&mut self, upstream: UpstreamId, sample: Sample) {
-        // Work that had others ahead of it tells of their order too, and not of the engine alone.
-        if sample.ahead_tokens <= sample.own_tokens * ALONE {
+        // The wait of a job with others ahead of it also depends on their order, not only on the
+        // engine.
+        if sample.ahead_tokens <= sample.own_tokens * MAX_AHEAD_SHARE {
             self.mean.learn(sample, FLEET_GAIN);
         }
         let mean = self.mean;
@@ -182,7 +187,7 @@
         }
     }
 
-    fn relist(&mut self) {
+    fn rebuild_lists(&mut self) {
         for list in &mut self.by_model {
             list.clear();
         }
@@ -202,12 +207,12 @@
         for list in &mut self.by_model {
             list.sort_by_key(|id| (rank(id), *id));
         }
-        self.sizes.clear();
+        self.kv_limits.clear();
         for list in &self.by_model {
             let listed = || list.iter().filter_map(|id| engines[id.index()].as_ref());
-            self.sizes.push(Sizes {
-                one: groups::most_tokens(listed(), 1),
-                group: groups::most_tokens(listed(), self.group_parts),
+            self.kv_limits.push(KvLimits {
+                one_engine: groups::max_group_tokens(listed(), 1),
+                group: groups::max_group_tokens(listed(), self.group_parts),
             });
         }
     }
--- a/crates/policy/src/job/mod.rs
+++ b/crates/policy/src/job/mod.rs
@@ -1,65 +1,66 @@
-//! The data that go into and come out of decisions.
+//! Input and output types of the policy: jobs, facts about engines, decisions, refusals and
+//! outcomes.
 
 use bluebell_base::prelude::*;
 use bluebell_upstreams::Priority;
 use serde::{Deserialize, Serialize};
 
-/// What the policy knows of a request.
+/// The policy's view of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Job {
-    /// The request.
+    /// Identity of the request.
     pub request: RequestId,
-    /// Who asks.
+    /// Client account that sent the request.
     pub account: AccountId,
-    /// Its class.
+    /// Class of work.
     pub class: ClassId,
-    /// The model.
+    /// Requested model.
     pub model: ModelId,
-    /// The prompt's estimated length.
+    /// Estimated length of the prompt.
     pub prompt_tokens: Tokens,
-    /// The most tokens the answer may have.
+    /// Maximum length of the answer.
     pub max_tokens: Tokens,
-    /// Hashes of the prompt's beginnings, for the prefix cache; ascending lengths.
+    /// Hashes of prefixes of the prompt, for the prefix cache, ordered by ascending length.
     pub prefixes: Vec<Prefix>,
-    /// When it arrived.
+    /// Time of arrival.
     pub arrived_ms: MonoMs,
-    /// When its first token is due by the class's target.
+    /// Time at which the class's target requires the first token.
     pub first_token_due_ms: MonoMs,
-    /// When it must have ended.
+    /// Time by which the request must have ended.
     pub deadline_ms: MonoMs,
-    /// Whether it may be run again after it may have run.
+    /// True if the request may be run again after it may have run.
     pub idempotent: bool,
-    /// Engines that already failed it.
+    /// Engines that have failed or refused this job before, the last one last.
     pub avoid: Vec<UpstreamId>,
 }
 
-/// A prompt's beginning.
+/// A prefix of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Prefix {
-    /// Its hash, computed as engines do for cache events.
+    /// Hash of the prefix, computed in the same way as the engines' cache events.
     pub hash: u64,
-    /// Its length.
+    /// Length of the prefix.
     pub tokens: Tokens,
 }
 
-/// What is known of an engine apart from its load.
+/// Properties of an engine other than its load.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineFacts {
-    /// The engine.
+    /// Identity of the engine in this process.
     pub upstream: UpstreamId,
-    /// Its failure domain.
+    /// Failure domain of the engine.
     pub domain: DomainId,
-    /// The models it serves.
+    /// Models that the engine serves.
     pub models: Vec<ModelId>,
-    /// Its KV memory in tokens.
+    /// Capacity of its KV memory.
     pub kv_capacity_tokens: Tokens,
-    /// Its place in an order that every node agrees on; see [`EngineFacts::rank_of`].
+    /// Sort key that gives the engines the same order at every node; see [`EngineFacts::rank_of`].
     pub rank: u64,
 }
 
 impl EngineFacts {
-    /// The rank of an engine of that name: an FNV-1a hash, the same in every process, where
-    /// [`UpstreamId`] is local to one.
+    /// Returns the rank of the engine with the given name. It is an FNV-1a hash of the name and so
+    /// the same in every process, whereas an [`UpstreamId`] is local to one process.
     pub fn rank_of(name: &UpstreamName) -> u64 {
         const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
         const PRIME: u64 = 0x0000_0100_0000_01b3;
@@ -68,89 +69,91 @@
     }
 }
 
-/// One engine's part of a group.
+/// Memory reserved on one engine of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GroupPart {
     /// The engine.
     pub upstream: UpstreamId,
-    /// The memory reserved there.
+    /// Reserved KV memory.
     pub kv_tokens: Tokens,
 }
 
-/// What shall be done with a job now.
+/// An action to carry out for a job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// Send it to one engine.
+    /// Send the job to one engine.
     Send {
         /// The job.
         request: RequestId,
         /// The engine.
         upstream: UpstreamId,
-        /// Its priority there.
+        /// Priority of the job on the engine.
         priority: Priority,
     },
-    /// Reserve memory on the members and send it to the leader.
+    /// Reserve memory on the members, then send the job to the leader.
     Group {
         /// The job.
         request: RequestId,
-        /// The engine that runs it.
+        /// Engine that runs the job.
         leader: UpstreamId,
-        /// The engines that lend memory, without the leader.
+        /// Engines that lend memory, without the leader.
         members: Vec<GroupPart>,
-        /// Its priority.
+        /// Priority of the job on the leader.
         priority: Priority,
     },
-    /// Cancel its attempt, which waits behind other work on its engine, unless its first token
-    /// came meanwhile; only for work that may be repeated. Its end is told by
-    /// [`crate::Policy::on_end`] as ever (`NotRun` or `Cancelled`); the policy has queued it again
-    /// by itself then and decides it anew, so that it is not admitted a second time.
+    /// Cancel the job's attempt, which waits behind other work on its engine, unless its first
+    /// token has arrived meanwhile. Only jobs that may be repeated are recalled. The end of the
+    /// attempt is reported to [`crate::Policy::on_end`] like any other (`NotRun` or `Cancelled`).
+    /// The policy then queues the job again by itself, so the caller must not admit it a second
+    /// time.
     Recall {
         /// The job.
         request: RequestId,
     },
-    /// Give it up now.
+    /// Give up the job now.
     Refuse {
         /// The job.
         request: RequestId,
-        /// Why.
+        /// Reason, and the time after which to retry.
         refusal: Refusal,
     },
 }
 
-/// Why a job was refused, and when to come back.
+/// Reason for a refusal, and the time after which to retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason for the refusal.
     pub reason: RefusalReason,
-    /// When it may fare better.
+    /// Time after which a retry has a better chance.
     pub retry_after_ms: SpanMs,
 }
 
-/// Why a job was refused.
+/// Reason for the refusal of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// No engine serves the model now.
+    /// No engine currently serves the model.
     NoEngine,
     /// The deadline cannot be met.
     TooLate,
-    /// The fleet is over capacity and the account over its share.
+    /// The fleet is over capacity and the account is over its share.
     OverShare,
     /// The fleet is over capacity.
     Overloaded,
-    /// Longer than all engines together can hold.
+    /// The job needs more memory than the largest possible group of engines has.
     TooLong,
 }
 
-/// How an attempt ended.
+/// Result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// With a whole answer of this many tokens.
+    /// The answer was complete and had this many tokens.
     Finished(Tokens),
-    /// Refused by the engine before any work.
+    /// The engine refused the job before it did any work.
     NotRun,
-    /// Broken off: the engine or the connection to it failed.
+    /// The engine or the connection to it failed during the attempt.
     Failed,
-    /// Cancelled by the caller or at its deadline; says nothing of the engine's health.
+    /// The caller cancelled the request, or its deadline passed. This says nothing about the
+    /// engine's health.
     Cancelled,
 }
--- a/crates/policy/src/jobs/mod.rs
+++ b/crates/policy/src/jobs/mod.rs
@@ -1,9 +1,10 @@
 //! The table of jobs, from admission to their end.
 //!
-//! Terms: a *slot* is a job's index in the table, reused after its end.
+//! Terms: a *slot* is the index of a job in the table. It is reused after the job's end.
 //!
-//! Invariants: a request has at most one slot; the slots in use and the free ones make up the
-//! table; the table never shrinks and grows only to the most jobs there were at once.
+//! Invariants: a request has at most one slot; every slot of the table is either in use or free;
+//! the table never shrinks, and its size is the largest number of jobs that were there at the same
+//! time.
 
 #[cfg(test)]
 mod tests;
@@ -13,47 +14,49 @@
 use std::collections::HashMap;
 
 bluebell_base::define_id! {
-    /// A job's index in the table.
+    /// Index of a job in the table.
     Slot(u32) = "slot";
 }
 
-/// How far a job has come.
+/// Progress of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// Admitted and not yet decided.
     Queued,
-    /// Sent, and its first token has not come.
+    /// Sent; its first token has not arrived.
     Sent,
-    /// Sent, and its attempt is being cancelled so that it can go elsewhere.
+    /// Sent; its attempt is being cancelled so that the job can be placed again.
     Recalled,
-    /// Its first token has come.
+    /// Its first token has arrived.
     Decoding,
 }
 
-/// A job and what was decided for it.
+/// A job and the decisions made for it.
 #[derive(Clone, Debug)]
 pub struct Entry {
     /// The job.
     pub job: Arc<Job>,
-    /// How far it has come.
+    /// Progress of the job.
     pub stage: Stage,
-    /// The engine that runs it, once sent.
+    /// Engine that runs the job, or `None` before it is sent.
     pub upstream: Option<UpstreamId>,
-    /// The engines that lend it memory.
+    /// Engines that lend memory to the job.
     pub members: Vec<GroupPart>,
-    /// When it may be placed at the earliest.
+    /// Earliest time at which the job may be placed.
     pub not_before_ms: MonoMs,
-    /// How often it was recalled.
+    /// Number of times that the job was recalled.
     pub recalls: u32,
-    /// Whether its engine went with it.
-    pub lost: bool,
-    /// When it was sent.
+    /// True if its engine was removed while the job was there.
+    pub engine_removed: bool,
+    /// Time at which the job was sent.
     pub sent_ms: MonoMs,
-    /// Its own prefill, without what the cache is believed to cover.
+    /// Prefill work of the job in tokens, without the part that the engine's cache is expected to
+    /// cover.
     pub prefill_tokens: f64,
-    /// The tokens believed ahead of it when it was sent.
+    /// Estimated prefill work ahead of the job when it was sent, in tokens.
     pub ahead_tokens: f64,
-    /// The first token's wait predicted when it was sent, in milliseconds.
+    /// Time from sending to the first token that was predicted when the job was sent, in
+    /// milliseconds.
     pub predicted_ms: f64,
 }
 
@@ -67,21 +70,21 @@
             members: Vec::new(),
             not_before_ms: MonoMs(0),
             recalls: 0,
-            lost: false,
+            engine_removed: false,
             sent_ms: MonoMs(0),
             ahead_tokens: 0.0,
             predicted_ms: 0.0,
         }
     }
 
-    /// The KV memory it takes at its longest.
+    /// Returns the KV memory that the job uses at its maximum length.
     pub fn kv_tokens(&self) -> Tokens {
         self.job.kv_tokens()
     }
 }
 
 impl Job {
-    /// The KV memory it takes at its longest.
+    /// Returns the KV memory that the job uses at its maximum length.
     pub fn kv_tokens(&self) -> Tokens {
         self.prompt_tokens + self.max_tokens
     }
@@ -92,12 +95,13 @@
 pub struct Jobs {
     entries: Vec<Option<Entry>>,
     free: Vec<Slot>,
-    // Only looked up, never walked: its order is not the same in every run.
+    // Used for lookups only. It is never iterated, because its order differs between runs.
     index: HashMap<RequestId, Slot>,
 }
 
 impl Jobs {
-    /// Takes a job in; one already there is replaced by nothing and its slot given.
+    /// Inserts a job and returns its slot. If the request is already in the table, its entry stays
+    /// unchanged and its slot is returned.
     pub fn insert(&mut self, job: Job) -> Slot {
         if let Some(slot) = self.index.get(&job.request) {
             return *slot;
@@ -112,22 +116,22 @@
         slot
     }
 
-    /// The slot of a request.
+    /// Returns the slot of a request.
     pub fn slot(&self, request: RequestId) -> Option<Slot> {
         self.index.get(&request).copied()
     }
 
-    /// The entry of a slot.
+    /// Returns the entry of a slot.
     pub fn get(&self, slot: Slot) -> Option<&Entry> {
         self.entries.get(slot.index())?.as_ref()
     }
 
-    /// The entry of a slot, to change.
+    /// Returns a mutable reference to the entry of a slot.
     pub fn get_mut(&mut self, slot: Slot) -> Option<&mut Entry> {
         self.entries.get_mut(slot.index())?.as_mut()
     }
 
-    /// Takes a job out.
+    /// Removes a job and frees its slot.
     pub fn remove(&mut self, slot: Slot) -> Option<Entry> {
         let entry = self.entries.get_mut(slot.index())?.take()?;
         self.index.remove(&entry.job.request);
@@ -135,19 +139,19 @@
         Some(entry)
     }
 
-    /// All jobs, in the order of their slots.
+    /// Iterates over all jobs in the order of their slots.
     pub fn iter(&self) -> impl Iterator<Item = (Slot, &Entry)> {
         let numbered = self.entries.iter().enumerate();
         numbered.filter_map(|(i, entry)| Some((Slot(i as u32), entry.as_ref()?)))
     }
 
-    /// How many jobs there are.
+    /// Returns the number of jobs.
     pub fn len(&self) -> usize {
         self.index.len()
     }
 
-    /// How many slots there are, in use and free.
-    pub fn slots(&self) -> (usize, usize) {
+    /// Returns the number of all slots and the number of free slots.
+    pub fn slot_counts(&self) -> (usize, usize) {
         (self.entries.len(), self.free.len())
     }
 }
--- a/crates/policy/src/jobs/tests.rs
+++ b/crates/policy/src/jobs/tests.rs
@@ -1,4 +1,5 @@
-//! The table of jobs does not grow with the number of jobs, only with how many there are at once.
+//! The size of the table depends on the number of jobs at the same time, not on the total number of
+//! jobs.
 
 use super::Jobs;
 use crate::job::Job;
@@ -31,10 +32,16 @@
     for sequence in 0..10_000 {
         jobs.insert(job(sequence));
         if let Some(old) = sequence.checked_sub(AT_ONCE) {
-            let slot = jobs.slot(job(old).request).expect("it is there");
+            let slot = jobs
+                .slot(job(old).request)
+                .expect("the job is in the table");
             jobs.remove(slot);
         }
     }
     assert_eq!(jobs.len() as u64, AT_ONCE);
-    assert!(jobs.slots().0 as u64 <= AT_ONCE + 1, "{:?}", jobs.slots());
+    assert!(
+        jobs.slot_counts().0 as u64 <= AT_ONCE + 1,
+        "{:?}",
+        jobs.slot_counts()
+    );
 }
--- a/crates/policy/src/laxity/admission.rs
+++ b/crates/policy/src/laxity/admission.rs
@@ -1,39 +1,40 @@
-//! Admission: a job is taken where its predicted outcome is good, and refused at once otherwise.
+//! Admission: accepts a job if its predicted outcome is good, and refuses it immediately otherwise.
 //!
-//! Invariants: a refusal's time to come back is when the wait that was too long is predicted to
-//! be worked off; it is never a way to hold the caller off for longer than that.
+//! Invariants: the retry time of a refusal is the time after which the excessive wait is predicted
+//! to have drained; it is never used to keep the caller away for longer than that.
 
 use super::Laxity;
-use super::score::{LARGE_TOKENS, SHORT_TOKENS, Scored};
+use super::score::{LARGE_JOB_TOKENS, SHORT_PROMPT_TOKENS, Scored};
 use crate::job::{Job, Refusal, RefusalReason};
 use bluebell_base::prelude::*;
 
-/// When to come back where no engine serves the model.
+/// Retry time of a refusal when no engine serves the model.
 const NO_ENGINE_RETRY_MS: SpanMs = SpanMs(1_000);
-/// The bounds of the time to come back.
-const RETRY_BOUNDS_MS: (u64, u64) = (200, 60_000);
-/// Up to this pressure, no account is held back.
-const FREE_PRESSURE: f64 = 0.1;
-/// Above this pressure, they are held back even where they do not surge.
-const HARD_PRESSURE: f64 = 0.5;
-/// When an account that surges may come back: by then a part of what it got has decayed.
+/// Lower and upper bound of the retry time of a refusal.
+const RETRY_AFTER_BOUNDS_MS: (u64, u64) = (200, 60_000);
+/// Pressure above which surging accounts are limited.
+const SURGE_LIMIT_PRESSURE: f64 = 0.1;
+/// Pressure above which accounts over their share are limited even if they do not surge.
+const SHARE_LIMIT_PRESSURE: f64 = 0.5;
+/// Retry time of a refusal because of a surge, in milliseconds. By then a part of the account's
+/// admitted work has decayed.
 const SURGE_RETRY_MS: f64 = 10_000.0;
-/// With a smaller share of the engines free, accounts that surge are held back.
-const FREE_SHARE: f64 = 0.4;
-/// How much less is shared out for each unit of pressure above that.
-const CUT: f64 = 1.0;
-/// The most that is cut.
-const MOST_CUT: f64 = 0.5;
-/// The share of its laxity that any job may be predicted to wait.
-const MOST_WAIT: f64 = 0.8;
+/// Share of free engines below which surging accounts are limited.
+const MIN_FREE_SHARE: f64 = 0.4;
+/// Reduction of the distributed work for each unit of pressure above [`SHARE_LIMIT_PRESSURE`].
+const CUT_PER_PRESSURE: f64 = 1.0;
+/// Maximum reduction of the distributed work.
+const MAX_CUT: f64 = 0.5;
+/// Share of its laxity that a job may be predicted to wait.
+const MAX_WAIT_SHARE: f64 = 0.8;
 
-/// The work of a job in tokens, for shares.
+/// Returns the work of a job in tokens, as counted for the shares.
 pub(super) fn work_tokens(job: &Job) -> f64 {
     (job.prompt_tokens + job.max_tokens).0 as f64
 }
 
 impl Laxity {
-    /// Says whether a job may be taken.
+    /// Checks if a job may be admitted, and returns the refusal if not.
     pub(super) fn check(&mut self, job: &Job, now_ms: MonoMs) -> Result<(), Refusal> {
         self.check_engines(job)?;
         let service_ms = self.service_ms(job).0 as f64;
@@ -45,49 +46,52 @@
             return Err(refusal(RefusalReason::TooLate, excess_ms));
         }
         if !job.avoid.is_empty() && !self.may_borrow(job) {
-            // It was admitted before and comes again after a failure: what was promised stands as
-            // long as the deadline can be met. A group that found no memory is weighed anew: if all
-            // such groups stayed, they would take turns at failing until their targets are missed.
+            // The job was admitted before and is tried again after a failure. The admission holds
+            // as long as the deadline can be met. A group that found no memory is checked again: if
+            // all such groups stayed admitted, they would fail in turn until their targets are
+            // missed.
             return Ok(());
         }
         let to_target_ms = job.first_token_due_ms.since(now_ms).0 as f64;
         let laxity_ms = (to_target_ms - service_ms).max(0.0);
-        let most_ms = laxity_ms * MOST_WAIT;
-        if wait_ms > most_ms && wait_ms > 1.0 {
-            return Err(refusal(RefusalReason::Overloaded, wait_ms - most_ms));
+        let max_wait_ms = laxity_ms * MAX_WAIT_SHARE;
+        if wait_ms > max_wait_ms && wait_ms > 1.0 {
+            return Err(refusal(RefusalReason::Overloaded, wait_ms - max_wait_ms));
         }
         self.check_share(job, now_ms)
     }
 
-    /// Refuses longer work of accounts over their share: of those that surge as soon as targets
-    /// come near or few engines are free, of the others only once targets are about to be missed.
-    /// Short work is let through, as refusing it relieves nothing.
+    /// Refuses long work of accounts over their share. A surging account is refused as soon as
+    /// waits approach the targets or few engines are free, any other account only when targets are
+    /// about to be missed. Short work is always admitted, because refusing it relieves nothing.
     fn check_share(&mut self, job: &Job, now_ms: MonoMs) -> Result<(), Refusal> {
-        if job.prompt_tokens.0 <= SHORT_TOKENS {
+        if job.prompt_tokens.0 <= SHORT_PROMPT_TOKENS {
             return Ok(());
         }
         let pressure = self.demand.pressure();
-        let near = pressure > FREE_PRESSURE || self.free_share() < FREE_SHARE;
-        if near && self.shares.surges(job.account, now_ms) {
+        let near = pressure > SURGE_LIMIT_PRESSURE || self.free_engine_share() < MIN_FREE_SHARE;
+        if near && self.shares.is_surging(job.account, now_ms) {
             return Err(refusal(RefusalReason::OverShare, SURGE_RETRY_MS));
         }
-        if pressure <= HARD_PRESSURE || !self.deferrable(job) {
+        if pressure <= SHARE_LIMIT_PRESSURE || !self.deferrable(job) {
             return Ok(());
         }
-        let cut = ((pressure - HARD_PRESSURE) * CUT).min(MOST_CUT);
-        let over = self.shares.over(job.account, cut, now_ms);
-        if over <= 1.0 {
+        let cut = ((pressure - SHARE_LIMIT_PRESSURE) * CUT_PER_PRESSURE).min(MAX_CUT);
+        let ratio = self.shares.ratio_to_level(job.account, cut, now_ms);
+        if ratio <= 1.0 {
             return Ok(());
         }
-        Err(refusal(RefusalReason::OverShare, self.over_share_ms(over)))
+        Err(refusal(RefusalReason::OverShare, self.over_share_ms(ratio)))
     }
 
-    /// The share of the engines scored last that are believed to have slack and memory.
-    fn free_share(&self) -> f64 {
+    /// Returns the share of the engines scored last that are estimated to have slack and free
+    /// memory.
+    fn free_engine_share(&self) -> f64 {
         let slack_ms = self.settings.slack_ms.0 as f64;
-        let open = || self.scratch.scored.iter().filter(|s| !s.kept);
-        // Whether this very job fits says nothing of the fleet: the longest fit nowhere alone.
-        let is_free = |s: &&Scored| s.kv_free >= LARGE_TOKENS && s.backlog_ms <= slack_ms;
+        let open = || self.scratch.scored.iter().filter(|s| !s.reserved);
+        // The check uses a fixed size. The size of this job would say nothing about the fleet,
+        // since the longest jobs fit on no single engine.
+        let is_free = |s: &&Scored| s.kv_free >= LARGE_JOB_TOKENS && s.backlog_ms <= slack_ms;
         let free = open().filter(is_free).count();
         free as f64 / open().count().max(1) as f64
     }
@@ -101,17 +105,17 @@
                 retry_after_ms: NO_ENGINE_RETRY_MS,
             });
         }
-        let largest = fleet.largest_group(job.model);
+        let largest = fleet.largest_group_tokens(job.model);
         if job.kv_tokens() > largest {
             return Err(Refusal {
                 reason: RefusalReason::TooLong,
-                retry_after_ms: SpanMs(RETRY_BOUNDS_MS.1),
+                retry_after_ms: SpanMs(RETRY_AFTER_BOUNDS_MS.1),
             });
         }
         Ok(())
     }
 
-    /// How long the job is predicted to wait before its prefill begins.
+    /// Returns the predicted wait before the job's prefill begins.
     fn predicted_wait_ms(&mut self, job: &Job, now_ms: MonoMs) -> f64 {
         let engine_ms = self.engine_wait_ms(job, now_ms);
         if !self.deferrable(job) {
@@ -130,10 +134,10 @@
         engine_ms + queue_ms
     }
 
-    /// The wait on the engine where the job could begin first. Work that may borrow memory needs
-    /// none of the engines to have enough alone.
+    /// Returns the wait on the engine where the job could begin first. A job that may borrow memory
+    /// does not need a single engine with enough of it.
     fn engine_wait_ms(&mut self, job: &Job, now_ms: MonoMs) -> f64 {
-        let best = self.best_ahead(job, now_ms);
+        let best = self.least_wait(job, now_ms);
         let alone_ms = best.map_or(0.0, |scored| scored.wait_ms);
         if !self.may_borrow(job) || self.lendable_tokens() < job.kv_tokens().0 {
             return alone_ms;
@@ -142,9 +146,10 @@
         backlogs.fold(alone_ms, f64::min)
     }
 
-    /// When an account's decaying work will be down to the level, if it asks for nothing more.
-    fn over_share_ms(&self, over: f64) -> f64 {
-        over.ln() * crate::shares::DECAY_MS
+    /// Returns the time after which the account's decaying work falls to the level if it sends
+    /// nothing more.
+    fn over_share_ms(&self, ratio: f64) -> f64 {
+        ratio.ln() * crate::shares::DECAY_MS
     }
 
     fn answer_ms(&self, job: &Job) -> f64 {
@@ -156,6 +161,6 @@
     let wait_ms = excess_ms.ceil() as u64;
     Refusal {
         reason,
-        retry_after_ms: SpanMs(wait_ms.clamp(RETRY_BOUNDS_MS.0, RETRY_BOUNDS_MS.1)),
+        retry_after_ms: SpanMs(wait_ms.clamp(RETRY_AFTER_BOUNDS_MS.0, RETRY_AFTER_BOUNDS_MS.1)),
     }
 }
--- a/crates/policy/src/laxity/dump.rs
+++ b/crates/policy/src/laxity/dump.rs
@@ -1,10 +1,10 @@
-//! The printer of the production policy.
+//! Text output of the production policy.
 
 use super::Laxity;
 use std::fmt::Write;
 
 impl Laxity {
-    /// What the policy knows, one thing a line.
+    /// Returns the policy's state, one item per line.
     pub(super) fn print(&self) -> String {
         let mut text = String::new();
         let queued = self.tables.queue.len();
--- a/crates/policy/src/laxity/mod.rs
+++ b/crates/policy/src/laxity/mod.rs
@@ -1,12 +1,14 @@
-//! The production policy: least laxity first, short work at once, long work in slack.
+//! The production policy: jobs with the least laxity go first, short work is sent immediately, and
+//! long work waits for engines with slack.
 //!
-//! Terms: a job's *service* is its prefill alone on an idle engine; its *laxity* is the time left
-//! to its target after its service; *deferrable* work has a service longer than a bound and may
-//! wait in this node's queue until an engine has slack for it; *urgent* work cannot wait longer.
+//! Terms: a job's *service* is the time of its prefill alone on an idle engine; its *laxity* is the
+//! time left to its target after its service; *deferrable* work has a service longer than a bound
+//! and may wait in this node's queue until an engine has slack for it; *urgent* work cannot wait
+//! longer.
 //!
-//! Invariants: work that is not deferrable leaves the queue in the same `decide`; what is queued
-//! is sent or refused at the latest when its deadline can no longer be met; a job once refused is
-//! told so at once.
+//! Invariants: work that is not deferrable leaves the queue in the same call of `decide`; a queued
+//! job is sent or refused no later than the time when its deadline can no longer be met; a refusal
+//! is reported immediately.
 
 mod admission;
 mod demand;
@@ -31,10 +33,10 @@
 use rand_chacha::ChaCha8Rng;
 use score::Scored;
 
-/// How much longer a group waits after each refused reservation.
-const BACK_OFF_MS: SpanMs = SpanMs(25);
-/// The longest wait of a group between two reservations.
-const MOST_BACK_OFF_MS: SpanMs = SpanMs(500);
+/// Increase of a group's wait for each refused reservation.
+const GROUP_BACKOFF_STEP_MS: SpanMs = SpanMs(25);
+/// Longest wait of a group between two reservations.
+const MAX_GROUP_BACKOFF_MS: SpanMs = SpanMs(500);
 
 /// The production policy.
 pub struct Laxity {
@@ -47,12 +49,12 @@
     scratch: Scratch,
 }
 
-/// Lists that are cleared and filled again, so that a decision allocates nothing.
+/// Buffers that are reused, so that a decision does not allocate.
 #[derive(Debug, Default)]
 struct Scratch {
     due: Vec<Slot>,
     scored: Vec<Scored>,
-    /// For which job and when they were scored; none once anything changed.
+    /// Job and time for which `scored` was filled, or `None` if anything has changed since.
     scored_for: Option<(RequestId, MonoMs)>,
     recalls: Vec<RequestId>,
     offers: Vec<crate::groups::Offer>,
@@ -60,7 +62,7 @@
 }
 
 impl Laxity {
-    /// Opens the policy; the seed decides between engines that look equal.
+    /// Creates the policy. The seed is used to choose between engines of about equal score.
     pub fn open(settings: PolicySettings, config: &FleetConfig, seed: u64) -> Self {
         Self {
             tables: Tables::open(&settings),
@@ -73,9 +75,9 @@
         }
     }
 
-    /// Notes how much of its laxity a job waited; short work waits for the running step at most,
-    /// which says nothing of the fleet's load.
-    fn note_wait(&mut self, request: RequestId, now_ms: MonoMs) {
+    /// Records the share of its laxity that a job waited. Short work is not recorded: it waits at
+    /// most for the running step, which says nothing about the fleet's load.
+    fn record_wait(&mut self, request: RequestId, now_ms: MonoMs) {
         let slot = self.tables.jobs.slot(request);
         let Some(entry) = slot.and_then(|slot| self.tables.jobs.get(slot)) else {
             return;
@@ -87,27 +89,28 @@
         let service_ms = self.service_ms(&job).0 as f64;
         let waited_ms = now_ms.since(job.arrived_ms).0 as f64 - service_ms;
         let laxity_ms = job.first_token_due_ms.since(job.arrived_ms).0 as f64 - service_ms;
-        self.demand.waited(waited_ms / laxity_ms.max(1.0));
+        self.demand.record_wait(waited_ms / laxity_ms.max(1.0));
     }
 
-    /// How long a group waits that comes again: what is known of memory must grow fresher first, or
-    /// it would be refused again and again within milliseconds.
-    fn back_off_ms(&self, job: &Job) -> SpanMs {
+    /// Returns the time that a group waits before it is tried again. Newer memory data must arrive
+    /// first, or the group would be refused repeatedly within milliseconds.
+    fn group_backoff_ms(&self, job: &Job) -> SpanMs {
         if !self.may_borrow(job) {
             return SpanMs::ZERO;
         }
         let refusals = job.avoid.len() as u64;
-        SpanMs((refusals * BACK_OFF_MS.0).min(MOST_BACK_OFF_MS.0))
+        SpanMs((refusals * GROUP_BACKOFF_STEP_MS.0).min(MAX_GROUP_BACKOFF_MS.0))
     }
 
-    /// A group that comes again was refused memory by the last engine it names.
-    fn note_refused(&mut self, job: &Job, now_ms: MonoMs) {
+    /// Records a refused reservation. The last engine that a returning group avoids is the one that
+    /// refused it memory.
+    fn record_group_refusal(&mut self, job: &Job, now_ms: MonoMs) {
         if !self.may_borrow(job) {
             return;
         }
         let refused_by = job.avoid.last();
         if let Some(engine) = refused_by.and_then(|id| self.tables.fleet.get_mut(*id)) {
-            engine.group_refused(now_ms);
+            engine.on_group_refused(now_ms);
         }
     }
 }
@@ -115,17 +118,17 @@
 impl Policy for Laxity {
     fn engine_updated(&mut self, facts: EngineFacts, now_ms: MonoMs) {
         self.scratch.scored_for = None;
-        self.tables.fleet.seen(facts, now_ms);
+        self.tables.fleet.upsert(facts, now_ms);
     }
 
     fn engine_leaving(&mut self, upstream: UpstreamId, _now_ms: MonoMs) {
         self.scratch.scored_for = None;
-        self.tables.fleet.leaving(upstream);
+        self.tables.fleet.mark_leaving(upstream);
     }
 
     fn engine_gone(&mut self, upstream: UpstreamId, _now_ms: MonoMs) {
         self.scratch.scored_for = None;
-        self.tables.gone(upstream);
+        self.tables.remove_engine(upstream);
         self.cache.forget(upstream);
     }
 
@@ -143,23 +146,23 @@
         if self.tables.jobs.slot(job.request).is_some() {
             return Ok(());
         }
-        self.note_refused(&job, now_ms);
+        self.record_group_refusal(&job, now_ms);
         let cost = admission::work_tokens(&job);
         self.shares.offer(job.account, cost, now_ms);
         self.check(&job, now_ms)?;
         self.shares.admit(job.account, cost, now_ms);
-        let back_off_ms = self.back_off_ms(&job);
+        let group_backoff_ms = self.group_backoff_ms(&job);
         let request = job.request;
         self.tables.enqueue(job);
         let slot = self.tables.jobs.slot(request);
         if let Some(entry) = slot.and_then(|slot| self.tables.jobs.get_mut(slot)) {
-            entry.not_before_ms = now_ms + back_off_ms;
+            entry.not_before_ms = now_ms + group_backoff_ms;
         }
         Ok(())
     }
 
     fn decide(&mut self, now_ms: MonoMs, out: &mut Vec<Decision>) {
-        self.recall_due(out);
+        self.take_recalls(out);
         let mut due = std::mem::take(&mut self.scratch.due);
         std::mem::swap(&mut due, &mut self.tables.queue);
         self.sort_by_urgency(&mut due);
@@ -179,12 +182,12 @@
 
     fn next_wake_ms(&self) -> Option<MonoMs> {
         let waits = !self.tables.queue.is_empty();
-        waits.then(|| self.demand.looked_ms() + self.settings.tick_ms)
+        waits.then(|| self.demand.observed_ms() + self.settings.tick_ms)
     }
 
     fn withdraw(&mut self, request: RequestId, now_ms: MonoMs) {
         self.scratch.scored_for = None;
-        if let Some(entry) = self.tables.take(request) {
+        if let Some(entry) = self.tables.remove(request) {
             let cost = admission::work_tokens(&entry.job);
             self.shares.give_back(entry.job.account, cost, now_ms);
         }
@@ -203,8 +206,8 @@
 
     fn on_first_token(&mut self, request: RequestId, now_ms: MonoMs) {
         self.scratch.scored_for = None;
-        self.note_wait(request, now_ms);
-        self.tables.first_token(request, now_ms);
+        self.record_wait(request, now_ms);
+        self.tables.on_first_token(request, now_ms);
     }
 
     fn on_end(&mut self, request: RequestId, outcome: Outcome, now_ms: MonoMs) {
@@ -212,11 +215,11 @@
         if self.tables.requeue(request, outcome) {
             return;
         }
-        let Some(entry) = self.tables.end(request, outcome, now_ms) else {
+        let Some(entry) = self.tables.on_end(request, outcome, now_ms) else {
             return;
         };
         match outcome {
-            Outcome::Finished(tokens) => self.demand.answered(entry.job.class, tokens),
+            Outcome::Finished(tokens) => self.demand.record_answer(entry.job.class, tokens),
             Outcome::NotRun => {
                 let cost = admission::work_tokens(&entry.job);
                 self.shares.give_back(entry.job.account, cost, now_ms);
--- a/crates/policy/src/laxity/placement.rs
+++ b/crates/policy/src/laxity/placement.rs
@@ -1,7 +1,7 @@
-//! Placement: which engine gets a job now, if any.
+//! Placement: selects the engine for a job, or leaves the job in the queue.
 
 use super::Laxity;
-use super::score::{SHORT_TOKENS, Scored};
+use super::score::{SHORT_PROMPT_TOKENS, Scored};
 use crate::groups::{self, Offer};
 use crate::job::{Decision, Job, Refusal, RefusalReason};
 use crate::jobs::Slot;
@@ -10,19 +10,19 @@
 use rand::Rng;
 use std::cmp::Reverse;
 
-/// How much worse than the best one another engine may look and still be drawn, in milliseconds.
-const NEAR_MS: f64 = 5.0;
-/// What taking an engine kept for short work counts for, in milliseconds.
-const KEPT_MS: f64 = 400.0;
-/// What taking another engine counts for short work, in milliseconds.
-const OTHERS_MS: f64 = 40.0;
-/// A cache that saves less than this is not sought, in milliseconds.
-const WORTH_CACHE_MS: f64 = 50.0;
-/// An engine with less wait than this counts as idle, in milliseconds.
-const IDLE_MS: f64 = 10.0;
+/// Difference from the best score within which an engine may be drawn, in milliseconds.
+const DRAW_MARGIN_MS: f64 = 5.0;
+/// Penalty for using an engine reserved for short work, in milliseconds.
+const RESERVED_PENALTY_MS: f64 = 400.0;
+/// Penalty for sending short work to an engine that is not reserved for it, in milliseconds.
+const UNRESERVED_PENALTY_MS: f64 = 40.0;
+/// Minimum time that a cache must save to be considered, in milliseconds.
+const MIN_CACHE_SAVING_MS: f64 = 50.0;
+/// Maximum wait of an engine that counts as idle, in milliseconds.
+const IDLE_WAIT_MS: f64 = 10.0;
 
 impl Laxity {
-    /// Decides a queued job, or leaves it waiting.
+    /// Decides a queued job. Returns `None` if it stays in the queue.
     pub(super) fn decide_one(&mut self, slot: Slot, now_ms: MonoMs) -> Option<Decision> {
         let entry = self.tables.jobs.get(slot)?;
         let not_before_ms = entry.not_before_ms;
@@ -37,25 +37,25 @@
         self.score(&job, now_ms);
         let placement = if self.needs_group(&job) {
             self.place_group(&job, now_ms)
-        } else if let Some(chosen) = self.on_cache(&job) {
+        } else if let Some(chosen) = self.cached_candidate(&job) {
             Some(self.place(&job, chosen, now_ms))
         } else if self.deferrable(&job) {
             let alone = self.place_in_slack(&job, now_ms);
             let large = alone.is_none() && self.may_borrow(&job);
             alone.or_else(|| large.then(|| self.place_group(&job, now_ms)).flatten())
         } else {
-            self.place_at_once(&job, now_ms)
+            self.place_now(&job, now_ms)
         };
         let placement = placement?;
         self.scratch.scored_for = None;
         if self.deferrable(&job) {
-            self.demand.sent(placement.prefill_tokens);
+            self.demand.on_sent(placement.prefill_tokens);
         }
         self.tables.send(slot, placement, now_ms)
     }
 
     fn refuse(&mut self, job: &Job, now_ms: MonoMs) -> Option<Decision> {
-        self.tables.take(job.request);
+        self.tables.remove(job.request);
         let cost = super::admission::work_tokens(job);
         self.shares.give_back(job.account, cost, now_ms);
         Some(Decision::Refuse {
@@ -67,8 +67,9 @@
         })
     }
 
-    /// An engine whose cache covers so much of the prompt that no idle one is sooner.
-    fn on_cache(&self, job: &Job) -> Option<Scored> {
+    /// Returns an engine whose cache covers so much of the prompt that no idle engine would be
+    /// faster.
+    fn cached_candidate(&self, job: &Job) -> Option<Scored> {
         if !job.idempotent || self.scratch.covering.is_empty() {
             return None;
         }
@@ -79,19 +80,20 @@
                 .fleet
                 .mean_cost()
                 .prefill_ms(whole - s.prefill_tokens);
-            !s.kept && s.fits && saved_ms >= WORTH_CACHE_MS && s.backlog_ms <= saved_ms
+            !s.reserved && s.fits && saved_ms >= MIN_CACHE_SAVING_MS && s.backlog_ms <= saved_ms
         };
         let scored = self.scratch.scored.iter().filter(covers);
         let sooner = |a: &&Scored, b: &&Scored| a.first_token_ms.total_cmp(&b.first_token_ms);
         scored.min_by(sooner).copied()
     }
 
-    /// The engine with the earliest predicted first token, drawn among the best few.
-    fn place_at_once(&mut self, job: &Job, now_ms: MonoMs) -> Option<Placement> {
-        let short = job.prompt_tokens.0 <= SHORT_TOKENS;
+    /// Places the job on the engine with the earliest predicted first token, drawn at random among
+    /// the best.
+    fn place_now(&mut self, job: &Job, now_ms: MonoMs) -> Option<Placement> {
+        let short = job.prompt_tokens.0 <= SHORT_PROMPT_TOKENS;
         if job.idempotent && !short {
             let scored = &self.scratch.scored;
-            let idle = |s: &&Scored| !s.kept && s.wait_ms <= IDLE_MS && s.fits;
+            let idle = |s: &&Scored| !s.reserved && s.wait_ms <= IDLE_WAIT_MS && s.fits;
             let count = scored
                 .iter()
                 .filter(idle)
@@ -103,13 +105,18 @@
                 return Some(self.place(job, chosen, now_ms));
             }
         }
-        // Longer work keeps off the engines kept for short work, and short work off the others,
-        // which look idle for a moment only.
-        let off_ms = if short { OTHERS_MS } else { KEPT_MS };
-        let cost_ms = |s: &Scored| s.expected_ms + if s.kept == short { 0.0 } else { off_ms };
+        // Long work avoids the engines reserved for short work. Short work avoids the others, which
+        // look idle only briefly.
+        let penalty_ms = if short {
+            UNRESERVED_PENALTY_MS
+        } else {
+            RESERVED_PENALTY_MS
+        };
+        let cost_ms =
+            |s: &Scored| s.expected_ms + if s.reserved == short { 0.0 } else { penalty_ms };
         let scored = &self.scratch.scored;
         let best_ms = scored.iter().map(cost_ms).fold(f64::INFINITY, f64::min);
-        let near = |s: &&Scored| cost_ms(s) <= best_ms + NEAR_MS;
+        let near = |s: &&Scored| cost_ms(s) <= best_ms + DRAW_MARGIN_MS;
         let drawn = self
             .rng
             .random_range(0..scored.iter().filter(near).count().max(1));
@@ -117,19 +124,21 @@
         Some(self.place(job, chosen, now_ms))
     }
 
-    /// The first engine from the long end that has slack and room; any engine once urgent.
+    /// Places the job on an engine that has slack and enough free memory, the freest of a few drawn
+    /// at random. An urgent job may be placed on any engine where it fits, except those that are
+    /// always reserved for short work.
     fn place_in_slack(&mut self, job: &Job, now_ms: MonoMs) -> Option<Placement> {
         let slack_ms = self.settings.slack_ms.0 as f64;
         let scored = &self.scratch.scored;
         let urgent = self.is_urgent(job, now_ms);
-        let open = |s: &Scored| !s.last && (urgent || !s.kept);
+        let open = |s: &Scored| !s.always_reserved && (urgent || !s.reserved);
         let has_slack = |s: &&Scored| open(s) && s.backlog_ms <= slack_ms && s.fits;
         let mut chosen: Option<Scored> = None;
         let count = scored.iter().filter(has_slack).count();
         for _ in 0..self.settings.choices.min(count) {
             let drawn = self.rng.random_range(0..count);
             let other = scored.iter().filter(has_slack).nth(drawn).copied();
-            let freer = |a: &Scored, b: &Scored| (b.kept, a.kv_free) > (a.kept, b.kv_free);
+            let freer = |a: &Scored, b: &Scored| (b.reserved, a.kv_free) > (a.reserved, b.kv_free);
             if other.is_some_and(|other| chosen.is_none_or(|chosen| freer(&other, &chosen))) {
                 chosen = other;
             }
@@ -146,8 +155,9 @@
         Some(self.place(job, chosen, now_ms))
     }
 
-    /// A group: its leader from the long end, its members first among the engines kept for short
-    /// work, as lending memory costs no step there.
+    /// Places the job on a group. The leader is not reserved for short work. Members are taken
+    /// first from the engines reserved for short work, since lending memory takes no time from
+    /// their steps.
     fn place_group(&mut self, job: &Job, now_ms: MonoMs) -> Option<Placement> {
         let urgent = self.is_urgent(job, now_ms);
         let slack_ms = self.settings.slack_ms.0 as f64;
@@ -159,13 +169,13 @@
         let mut offers = std::mem::take(&mut self.scratch.offers);
         offers.clear();
         let scored = &self.scratch.scored;
-        offers.extend(scored.iter().filter(|s| s.kept).map(offer));
-        let kept = offers.len();
-        offers.extend(scored.iter().filter(|s| !s.kept).map(offer));
-        // The largest first: the fewer parts, the fewer reservations that another node's work can
-        // make fail.
-        offers[kept..].sort_by_key(|offer| Reverse(offer.kv_tokens));
-        let may_lead = |s: &&Scored| !s.kept && (urgent || s.backlog_ms <= slack_ms);
+        offers.extend(scored.iter().filter(|s| s.reserved).map(offer));
+        let reserved_count = offers.len();
+        offers.extend(scored.iter().filter(|s| !s.reserved).map(offer));
+        // Engines that can lend the most come first: with fewer parts there are fewer reservations
+        // that another node's work can make fail.
+        offers[reserved_count..].sort_by_key(|offer| Reverse(offer.kv_tokens));
+        let may_lead = |s: &&Scored| !s.reserved && (urgent || s.backlog_ms <= slack_ms);
         let parts = self.settings.group_parts;
         let leader = scored
             .iter()
--- a/crates/policy/src/laxity/recall.rs
+++ b/crates/policy/src/laxity/recall.rs
@@ -1,10 +1,11 @@
-//! Recall: work that lands behind other nodes' work is taken back and placed anew.
+//! Recall: a job that was queued behind other nodes' work on its engine is cancelled there and
+//! placed again.
 //!
-//! Reports are late, so that nodes send to an engine that another one has just filled. It shows as
-//! a load, riding on the engine's acceptance, that is higher than was believed. The engine has not
-//! begun the work then, and cancelling costs one more way there and back, much less than the wait
-//! behind a long prefill. The guard is for work that may be repeated only: the cancel can cross
-//! with the work's beginning, and then it has run.
+//! Load reports arrive late, so a node may send work to an engine that another node has just
+//! filled. This shows when the engine accepts the job: the load sent with the acceptance is higher
+//! than estimated. The engine has not begun the job at that time. Cancelling it costs one more
+//! round trip, which is much less than a wait behind a long prefill. Only work that may be repeated
+//! is recalled, because the cancel can cross with the start of the work, which has run then.
 
 use super::Laxity;
 use crate::job::Decision;
@@ -13,15 +14,17 @@
 use bluebell_base::prelude::*;
 use bluebell_upstreams::LoadReport;
 
-/// The most recalls of one job; afterwards it stays where it is.
-const MOST_RECALLS: u32 = 16;
-/// What a recall costs, in milliseconds: the ways there and back, and a margin.
-const RECALL_MS: f64 = 10.0;
-/// The part of a wait that another engine must save.
-const WORTH: f64 = 0.7;
+/// Maximum number of recalls of one job. After that it stays on its engine.
+const MAX_RECALLS: u32 = 16;
+/// Cost of a recall in milliseconds: a round trip and a margin.
+const RECALL_COST_MS: f64 = 10.0;
+/// Maximum wait on another engine that justifies a recall, as a share of the wait on the current
+/// one.
+const MAX_REMAINING_WAIT_SHARE: f64 = 0.7;
 
 impl Laxity {
-    /// Takes the fresh load in and recalls the job where another place is clearly better.
+    /// Records the load sent with an acceptance, and recalls the job if another engine is clearly
+    /// better.
     pub(super) fn accepted(
         &mut self,
         request: RequestId,
@@ -41,15 +44,15 @@
             let own_tokens = entry.job.prompt_tokens.saturating_sub(cached_tokens);
             entry.prefill_tokens = own_tokens.0.max(1) as f64;
             let backlog_tokens = load.prefill_backlog_tokens.0 as f64;
-            entry.ahead_tokens = super::score::ahead(backlog_tokens, entry.prefill_tokens);
+            entry.ahead_tokens = super::score::tokens_ahead(backlog_tokens, entry.prefill_tokens);
         }
-        if self.better_elsewhere(slot, upstream, now_ms) {
+        if self.is_recall_worthwhile(slot, upstream, now_ms) {
             self.scratch.recalls.push(request);
         }
     }
 
-    /// Gives the recalls that were decided since the last call.
-    pub(super) fn recall_due(&mut self, out: &mut Vec<Decision>) {
+    /// Appends the recalls that were decided since the last call.
+    pub(super) fn take_recalls(&mut self, out: &mut Vec<Decision>) {
         let mut recalls = std::mem::take(&mut self.scratch.recalls);
         for request in recalls.drain(..) {
             let slot = self.tables.jobs.slot(request);
@@ -63,30 +66,30 @@
         self.scratch.recalls = recalls;
     }
 
-    fn better_elsewhere(&mut self, slot: Slot, upstream: UpstreamId, now_ms: MonoMs) -> bool {
+    fn is_recall_worthwhile(&mut self, slot: Slot, upstream: UpstreamId, now_ms: MonoMs) -> bool {
         let Some(entry) = self.tables.jobs.get(slot) else {
             return false;
         };
-        let may = self.settings.kind != Kind::NoRecall
+        let is_allowed = self.settings.kind != Kind::NoRecall
             && entry.job.idempotent
             && entry.stage == Stage::Sent
             && entry.members.is_empty()
-            && entry.recalls < MOST_RECALLS;
-        if !may {
+            && entry.recalls < MAX_RECALLS;
+        if !is_allowed {
             return false;
         }
         let lacks_memory = self.tables.fleet.get(upstream).is_some_and(|engine| {
-            // The engine's memory as believed now has the job's own in it.
+            // The estimated memory use includes the job's own memory.
             engine.kv_used() > engine.facts.kv_capacity_tokens.0
         });
         let memory_ms = if lacks_memory {
-            super::score::NO_MEMORY_MS
+            super::score::NO_MEMORY_PENALTY_MS
         } else {
             0.0
         };
         let cost = self.tables.fleet.mean_cost();
         let ahead_ms = cost.prefill_ms(entry.ahead_tokens) + memory_ms;
-        if ahead_ms <= RECALL_MS {
+        if ahead_ms <= RECALL_COST_MS {
             return false;
         }
         let job = entry.job.clone();
@@ -99,11 +102,11 @@
         }
         self.score(&job, now_ms);
         let others = self.scratch.scored.iter();
-        let short = job.prompt_tokens.0 <= super::score::SHORT_TOKENS;
-        let others = others.filter(|s| s.upstream != upstream && (short || !s.kept));
+        let short = job.prompt_tokens.0 <= super::score::SHORT_PROMPT_TOKENS;
+        let others = others.filter(|s| s.upstream != upstream && (short || !s.reserved));
         let best_ms = others
             .map(|s| s.first_token_ms)
             .fold(f64::INFINITY, f64::min);
-        best_ms + RECALL_MS < ahead_ms * WORTH + own_ms
+        best_ms + RECALL_COST_MS < ahead_ms * MAX_REMAINING_WAIT_SHARE + own_ms
     }
 }
--- a/crates/policy/src/settings/mod.rs
+++ b/crates/policy/src/settings/mod.rs
@@ -1,31 +1,32 @@
-//! Which policy decides, and its constants.
+//! Selection of the policy, and its constants.
 //!
-//! Invariants: operators never see these; they steer only by the classes' targets.
+//! Invariants: operators do not set these values; they control the policy only by the targets of
+//! the classes.
 
 use bluebell_base::prelude::*;
 use bluebell_base::text::ParseError;
 use std::fmt;
 use std::str::FromStr;
 
-/// The policies there are.
+/// The available policies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
-    /// The production policy: least laxity first, long work in slack.
+    /// The production policy: least laxity first, long work on engines with slack.
     #[default]
     Laxity,
-    /// The production policy before it recalled work, and what is left of it on a node that does
-    /// not carry recalls out.
+    /// The production policy without recalls. It corresponds to the production policy on a node
+    /// that does not carry out recalls.
     NoRecall,
-    /// Baseline: one engine after the other.
+    /// Baseline: the engines in rotation.
     RoundRobin,
     /// Baseline: the engine with the fewest requests.
     LeastRequests,
-    /// Baseline: the engine with the fewest tokens outstanding.
+    /// Baseline: the engine with the fewest outstanding tokens.
     LeastTokens,
 }
 
 impl Kind {
-    /// All policies, the production one last.
+    /// All policies; the production policy is the last.
     pub const ALL: [Kind; 5] = [
         Kind::RoundRobin,
         Kind::LeastRequests,
@@ -34,7 +35,7 @@
         Kind::Laxity,
     ];
 
-    /// Whether it is one of the simple policies that ours is compared with.
+    /// Returns true for the simple policies that the production policy is compared with.
     pub fn is_baseline(self) -> bool {
         !matches!(self, Kind::Laxity | Kind::NoRecall)
     }
@@ -65,32 +66,35 @@
     }
 }
 
-/// A policy's constants; the defaults are those that the bench was run with.
+/// Constants of a policy. The benchmark uses the defaults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PolicySettings {
-    /// Which policy decides.
+    /// The policy to use.
     pub kind: Kind,
-    /// The most engines looked at for one placement.
-    pub window: usize,
-    /// Among how many of the best engines the choice is drawn, so that nodes with the same late
-    /// reports do not all pick the same one.
+    /// Maximum number of engines scored for one placement.
+    pub max_candidates: usize,
+    /// Number of good engines among which one is drawn at random. It keeps nodes that have the same
+    /// late reports from all choosing the same engine.
     pub choices: usize,
-    /// Work whose prefill takes longer than this alone may wait in the node's queue for slack.
+    /// Duration of a prefill alone above which work may wait in the node's queue for an engine with
+    /// slack.
     pub deferrable_ms: SpanMs,
-    /// An engine whose prefill backlog is shorter than this has slack for deferrable work.
+    /// Duration of the prefill backlog below which an engine has slack for deferrable work.
     pub slack_ms: SpanMs,
-    /// The share of an engine's KV memory that deferrable work leaves free at least.
+    /// Minimum share of an engine's KV memory that deferrable work leaves free.
     pub kv_headroom_share: f64,
-    /// The share of the engines that is kept free of longer work while that can wait.
+    /// Share of the engines that is reserved for short work. Longer work avoids them while it can
+    /// wait.
     pub short_work_share: f64,
-    /// How often a waiting queue is looked at.
+    /// Interval at which a queue with waiting jobs is checked.
     pub tick_ms: SpanMs,
-    /// The most engines of a group, the leader included.
+    /// Maximum number of engines in a group, including the leader.
     pub group_parts: usize,
-    /// The prefill rate assumed of the engines before any was measured, in tokens a second; rather
-    /// too high than too low, as work refused for a wrong guess teaches nothing.
+    /// Prefill rate of an engine that is assumed before any was measured, in tokens per second. It
+    /// should be too high rather than too low: no rate can be measured from work that is refused
+    /// because of a low estimate.
     pub prior_prefill: PerSecond,
-    /// The overhead assumed before any was measured.
+    /// Overhead that is assumed before any was measured.
     pub prior_overhead_ms: SpanMs,
 }
 
@@ -98,7 +102,7 @@
     fn default() -> Self {
         Self {
             kind: Kind::Laxity,
-            window: 32,
+            max_candidates: 32,
             choices: 2,
             deferrable_ms: SpanMs(700),
             slack_ms: SpanMs(250),
@@ -113,7 +117,7 @@
 }
 
 impl PolicySettings {
-    /// The defaults for a policy.
+    /// Returns the default constants with the given policy.
     pub fn of(kind: Kind) -> Self {
         Self {
             kind,
--- a/crates/policy/src/tables/dump.rs
+++ b/crates/policy/src/tables/dump.rs
@@ -1,9 +1,9 @@
-//! The printer of the tables.
+//! Text output of the tables.
 
 use super::Tables;
 use std::fmt::Write;
 
-/// Adds a line for the whole and one for each engine.
+/// Appends one line for the whole fleet and one line for each engine.
 pub fn dump(tables: &Tables, text: &mut String) {
     // Writing to a string cannot fail.
     let mean = tables.fleet.mean_cost();
--- a/crates/policy/src/tables/mod.rs
+++ b/crates/policy/src/tables/mod.rs
@@ -1,7 +1,7 @@
-//! The tables that every policy keeps, and the passes that keep them in step: engines, jobs and
-//! the queue of undecided jobs.
+//! The tables that every policy keeps: engines, jobs and the queue of undecided jobs. Changes that
+//! concern several tables are made here.
 //!
-//! Invariants: see [`crate::verify`]; each method leaves all of them true.
+//! Invariants: see [`crate::verify`]. They hold after each method.
 
 mod dump;
 
@@ -15,36 +15,36 @@
 use bluebell_base::prelude::*;
 use bluebell_upstreams::Priority;
 
-/// Engines, jobs and the queue.
+/// Tables of engines and jobs, and the queue.
 #[derive(Debug)]
 pub struct Tables {
-    /// The engines.
+    /// Table of engines.
     pub fleet: Fleet,
-    /// The jobs.
+    /// Table of jobs.
     pub jobs: Jobs,
-    /// The undecided jobs.
+    /// Slots of the undecided jobs.
     pub queue: Vec<Slot>,
 }
 
-/// Where a job goes, and what that was decided from.
+/// The engines chosen for a job, and the estimates on which the choice rests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
-    /// The engine that runs it.
+    /// Engine that runs the job.
     pub upstream: UpstreamId,
-    /// The engines that lend it memory.
+    /// Engines that lend memory to the job.
     pub members: Vec<GroupPart>,
-    /// Its priority.
+    /// Priority of the job on its engine.
     pub priority: Priority,
-    /// Its own prefill there, in tokens.
+    /// Prefill work of the job on its engine, in tokens.
     pub prefill_tokens: f64,
-    /// The tokens believed ahead of it.
+    /// Estimated prefill work ahead of the job, in tokens.
     pub ahead_tokens: f64,
-    /// The first token's wait predicted, in milliseconds.
+    /// Predicted time from sending to the first token, in milliseconds.
     pub predicted_ms: f64,
 }
 
 impl Tables {
-    /// Empty tables.
+    /// Creates empty tables.
     pub fn open(settings: &PolicySettings) -> Self {
         let prior = CostModel::prior(settings.prior_prefill, settings.prior_overhead_ms);
         Self {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Takes a job in and queues it; one already known is left as it is.
+    /// Inserts a job and queues it. A job that is already known stays unchanged.
     pub fn enqueue(&mut self, job: Job) {
         if self.jobs.slot(job.request).is_some() {
             return;
@@ -63,8 +63,8 @@
         self.queue.push(slot);
     }
 
-    /// Marks a queued job as sent and gives the decision that says so. The caller takes its slot
-    /// out of the queue.
+    /// Marks a queued job as sent and returns the decision to send it. The caller removes its slot
+    /// from the queue.
     pub fn send(&mut self, slot: Slot, placement: Placement, now_ms: MonoMs) -> Option<Decision> {
         let entry = self.jobs.get_mut(slot)?;
         entry.stage = Stage::Sent;
@@ -82,20 +82,20 @@
             prefill_tokens: placement.prefill_tokens,
             kv_tokens: entry.kv_tokens().saturating_sub(lent),
         };
-        self.note_sent(placement.upstream, in_flight);
+        self.on_sent(placement.upstream, in_flight);
         for member in &placement.members {
             let in_flight = InFlight {
                 prefill_tokens: 0.0,
                 kv_tokens: member.kv_tokens,
                 ..in_flight
             };
-            self.note_sent(member.upstream, in_flight);
+            self.on_sent(member.upstream, in_flight);
         }
         Some(decision(request, placement))
     }
 
-    /// A sent job's first token came; the cost model and the health learn from it.
-    pub fn first_token(&mut self, request: RequestId, now_ms: MonoMs) {
+    /// Records the first token of a sent job. Updates the cost model and the health of its engine.
+    pub fn on_first_token(&mut self, request: RequestId, now_ms: MonoMs) {
         let Some(slot) = self.jobs.slot(request) else {
             return;
         };
@@ -110,7 +110,7 @@
             own_tokens: entry.prefill_tokens,
             ahead_tokens: entry.ahead_tokens,
             predicted_ms: entry.predicted_ms,
-            seen_ms: now_ms.since(entry.sent_ms).0 as f64,
+            observed_ms: now_ms.since(entry.sent_ms).0 as f64,
         };
         let upstream = entry.upstream;
         if let Some(upstream) = upstream {
@@ -118,27 +118,32 @@
         }
         let engine = upstream.and_then(|id| self.fleet.get_mut(id));
         if let Some(engine) = engine {
-            engine.health.succeeded();
-            engine.first_token(slot);
+            engine.health.on_success();
+            engine.on_first_token(slot);
         }
     }
 
-    /// A job's attempt ended; gives the job's entry back.
-    pub fn end(&mut self, request: RequestId, outcome: Outcome, now_ms: MonoMs) -> Option<Entry> {
-        let entry = self.take(request)?;
+    /// Records the end of a job's attempt and returns the removed entry.
+    pub fn on_end(
+        &mut self,
+        request: RequestId,
+        outcome: Outcome,
+        now_ms: MonoMs,
+    ) -> Option<Entry> {
+        let entry = self.remove(request)?;
         let engine = entry.upstream.and_then(|id| self.fleet.get_mut(id));
         if let Some(engine) = engine {
             match outcome {
-                Outcome::Finished(_) => engine.health.succeeded(),
-                Outcome::Failed => engine.health.failed(now_ms),
+                Outcome::Finished(_) => engine.health.on_success(),
+                Outcome::Failed => engine.health.on_failure(now_ms),
                 Outcome::NotRun | Outcome::Cancelled => {}
             }
         }
         Some(entry)
     }
 
-    /// A recalled job's attempt ended before its first token: it is queued again. Gives whether
-    /// that was so.
+    /// Queues a recalled job again if its attempt was cancelled before its first token. Returns
+    /// true if it did.
     pub fn requeue(&mut self, request: RequestId, outcome: Outcome) -> bool {
         let Some(slot) = self.jobs.slot(request) else {
             return false;
@@ -151,17 +156,17 @@
             return false;
         }
         entry.stage = Stage::Queued;
-        entry.lost = false;
+        entry.engine_removed = false;
         let upstream = entry.upstream.take();
         if let Some(engine) = upstream.and_then(|id| self.fleet.get_mut(id)) {
-            engine.ended(slot);
+            engine.on_ended(slot);
         }
         self.queue.push(slot);
         true
     }
 
-    /// Takes a job out, wherever it is.
-    pub fn take(&mut self, request: RequestId) -> Option<Entry> {
+    /// Removes a job from all tables.
+    pub fn remove(&mut self, request: RequestId) -> Option<Entry> {
         let slot = self.jobs.slot(request)?;
         let entry = self.jobs.remove(slot)?;
         if entry.stage == Stage::Queued {
@@ -170,27 +175,27 @@
         let members = entry.members.iter().map(|member| member.upstream);
         for upstream in entry.upstream.into_iter().chain(members) {
             if let Some(engine) = self.fleet.get_mut(upstream) {
-                engine.ended(slot);
+                engine.on_ended(slot);
             }
         }
         Some(entry)
     }
 
-    /// An engine is gone; its jobs stay until their ends are told.
-    pub fn gone(&mut self, upstream: UpstreamId) {
+    /// Removes an engine. Its jobs stay until their ends are reported.
+    pub fn remove_engine(&mut self, upstream: UpstreamId) {
         if let Some(engine) = self.fleet.get(upstream) {
             for in_flight in &engine.in_flight {
                 if let Some(entry) = self.jobs.get_mut(in_flight.slot) {
-                    entry.lost |= entry.upstream == Some(upstream);
+                    entry.engine_removed |= entry.upstream == Some(upstream);
                 }
             }
         }
-        self.fleet.gone(upstream);
+        self.fleet.remove(upstream);
     }
 
-    fn note_sent(&mut self, upstream: UpstreamId, in_flight: InFlight) {
+    fn on_sent(&mut self, upstream: UpstreamId, in_flight: InFlight) {
         if let Some(engine) = self.fleet.get_mut(upstream) {
-            engine.sent(in_flight);
+            engine.on_sent(in_flight);
         }
     }
 }
--- a/crates/policy/src/verify/mod.rs
+++ b/crates/policy/src/verify/mod.rs
@@ -1,4 +1,5 @@
-//! The verifier: re-checks the tables' invariants from nothing, for tests to run after each step.
+//! The verifier: recomputes the invariants of the tables, so that tests can check them after each
+//! step.
 
 use crate::cache::CacheView;
 use crate::fleet::{Fleet, State};
@@ -7,12 +8,12 @@
 use bluebell_base::prelude::*;
 use std::fmt;
 
-/// One invariant that does not hold.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     /// The invariant.
     pub rule: &'static str,
-    /// Where it does not hold.
+    /// The entries that violate it.
     pub detail: Arc<str>,
 }
 
@@ -33,7 +34,7 @@
     found
 }
 
-/// Checks the believed cache.
+/// Checks the estimated cache contents.
 pub(crate) fn check_cache(cache: &CacheView, found: &mut Vec<Violation>) {
     let (holders, order) = cache.sizes();
     if holders != order {
@@ -96,7 +97,7 @@
             }
         }
     }
-    for (slot, entry) in jobs.iter().filter(|(_, entry)| !entry.lost) {
+    for (slot, entry) in jobs.iter().filter(|(_, entry)| !entry.engine_removed) {
         let Some(upstream) = entry.upstream else {
             continue;
         };
@@ -138,7 +139,7 @@
 }
 
 fn check_slots(jobs: &Jobs, found: &mut Vec<Violation>) {
-    let (all, free) = jobs.slots();
+    let (all, free) = jobs.slot_counts();
     if all != free + jobs.len() {
         add(
             found,
--- a/crates/policy/tests/accounts.rs
+++ b/crates/policy/tests/accounts.rs
@@ -7,18 +7,19 @@
 use common::{config, job, load, open, request};
 use std::collections::BTreeMap;
 
-/// Arrivals of ten accounts in turn; after two minutes the last one asks for ten times as much.
-fn run(policy: &mut dyn Policy, hogs: bool) -> BTreeMap<u32, usize> {
+/// Sends work of ten accounts in turn. If `surges` is set, the last account sends ten times as much
+/// after two minutes. Returns the number of refusals by account.
+fn run(policy: &mut dyn Policy, surges: bool) -> BTreeMap<u32, usize> {
     let mut refused = BTreeMap::new();
     let mut sequence = 0;
     for tick in 0..600_u64 {
         let now_ms = tick * 400;
         for engine in 0..10 {
-            // Few engines are free, so that it matters who gets them.
+            // Few engines are free, so accounts are limited if they surge.
             let backlog = if engine < 8 { 30_000 } else { 0 };
             policy.on_load(UpstreamId(engine), &load(backlog, 0), MonoMs(now_ms));
         }
-        let surge = hogs && tick >= 300;
+        let surge = surges && tick >= 300;
         let extra = std::iter::repeat_n(9, if surge { 9 } else { 0 });
         for account in std::iter::once((tick % 10) as u32).chain(extra) {
             sequence += 1;
@@ -43,10 +44,10 @@
     refused
 }
 
-/// One account asks for many times what it is used to get while engines are short. It is held back,
-/// with a time to come back, and nobody else is.
+/// One account sends many times its usual work while few engines are free. Only this account is
+/// limited, and its refusals have a retry time.
 #[test]
-fn only_the_account_that_surges_is_held_back() {
+fn only_the_surging_account_is_limited() {
     let refused = run(open(Kind::Laxity, 10, 1).as_mut(), true);
     assert_eq!(
         refused.keys().copied().collect::<Vec<_>>(),
@@ -56,17 +57,17 @@
     assert!(refused[&9] > 1_000, "{refused:?}");
 }
 
-/// With everybody at their custom nobody is held back, though engines are short.
+/// No account is limited while all send their usual work, even if few engines are free.
 #[test]
-fn accounts_at_their_custom_are_not_held_back() {
+fn accounts_with_their_usual_work_are_not_limited() {
     let refused = run(open(Kind::Laxity, 10, 1).as_mut(), false);
     assert!(refused.is_empty(), "{refused:?}");
 }
 
-/// A new configuration reorders the accounts, and with them their ids. What is known of an account
-/// must move with its name, or the surge would be laid at another one's door.
+/// A new configuration changes the order of the accounts and with it their ids. The history of an
+/// account must follow its name. Otherwise another account would be limited for the surge.
 #[test]
-fn a_new_configuration_keeps_what_is_known_of_an_account() {
+fn a_new_configuration_keeps_the_history_of_an_account() {
     let mut policy = open(Kind::Laxity, 10, 1);
     run(policy.as_mut(), true);
     let mut reordered = config(10);
@@ -76,15 +77,15 @@
     for engine in 0..10 {
         policy.on_load(UpstreamId(engine), &load(30_000, 0), now_ms);
     }
-    let mut ask = |account: u32| {
+    let mut admit = |account: u32| {
         let mut job = job(1_000_000 + u64::from(account), 20_000, now_ms.0, 20_000);
         job.account = AccountId(account);
         policy.admit(job, now_ms).map_err(|refusal| refusal.reason)
     };
     assert_eq!(
-        ask(0),
+        admit(0),
         Err(RefusalReason::OverShare),
-        "the last one is the first now"
+        "the last account is now the first"
     );
-    assert_eq!(ask(9), Ok(()));
+    assert_eq!(admit(9), Ok(()));
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the policy's tests share: a fleet of engines and jobs of any length.
+//! Shared fixtures of the policy's tests: a fleet of engines, and jobs of any length.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -7,10 +7,10 @@
 use bluebell_policy::{EngineFacts, Job, Kind, Policy, PolicySettings, Prefix};
 use bluebell_upstreams::LoadReport;
 
-/// The memory of each engine, in tokens.
+/// Memory of each engine, in tokens.
 pub const KV_TOKENS: u64 = 480_000;
 
-/// A configuration with one class and so many accounts.
+/// Returns a configuration with one class and the given number of accounts.
 pub fn config(accounts: usize) -> FleetConfig {
     let account = |i: usize| Account {
         name: AccountName::from(format!("account-{i}").as_str()),
@@ -31,7 +31,7 @@
     }
 }
 
-/// An engine's facts.
+/// Returns the facts of an engine.
 pub fn facts(upstream: u32) -> EngineFacts {
     let name = UpstreamName::from(format!("engine-{upstream}").as_str());
     EngineFacts {
@@ -43,7 +43,7 @@
     }
 }
 
-/// A policy over so many engines.
+/// Creates a policy with the given number of engines.
 pub fn open(kind: Kind, engines: u32, seed: u64) -> Box<dyn Policy> {
     let mut policy = bluebell_policy::open(PolicySettings::of(kind), &config(10), seed);
     for upstream in 0..engines {
@@ -52,7 +52,7 @@
     policy
 }
 
-/// A request's identity.
+/// Returns the identity of a request.
 pub fn request(sequence: u64) -> RequestId {
     RequestId {
         incarnation: Incarnation(1),
@@ -60,7 +60,8 @@
     }
 }
 
-/// A job whose first token is due within `due_ms` and whose end within ten times that.
+/// Returns a job whose first token is due `due_ms` after its arrival, and its end after ten times
+/// that.
 pub fn job(sequence: u64, prompt_tokens: u64, arrived_ms: u64, due_ms: u64) -> Job {
     Job {
         request: request(sequence),
@@ -81,7 +82,7 @@
     }
 }
 
-/// A load report with so much backlog and memory in use.
+/// Returns a load report with the given backlog and memory in use.
 pub fn load(backlog_tokens: u64, kv_used_tokens: u64) -> LoadReport {
     LoadReport {
         prefill_backlog_tokens: Tokens(backlog_tokens),
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -9,7 +9,9 @@
 
 fn place(policy: &mut dyn Policy, job: Job, now_ms: u64) -> Vec<Decision> {
     let mut out = Vec::new();
-    policy.admit(job, MonoMs(now_ms)).expect("it is taken");
+    policy
+        .admit(job, MonoMs(now_ms))
+        .expect("the job is admitted");
     policy.decide(MonoMs(now_ms), &mut out);
     out
 }
@@ -17,43 +19,43 @@
 fn engine_of(out: &[Decision]) -> UpstreamId {
     match out {
         [Decision::Send { upstream, .. }] => *upstream,
-        other => panic!("one job sent was expected: {other:?}"),
+        other => panic!("expected one sent job: {other:?}"),
     }
 }
 
 fn priority_of(out: &[Decision]) -> i32 {
     match out {
         [Decision::Send { priority, .. }] => priority.0,
-        other => panic!("one job sent was expected: {other:?}"),
+        other => panic!("expected one sent job: {other:?}"),
     }
 }
 
-/// A family waits for a notice while an archive is read: on the same engine the notice must go
-/// first, though it came later.
+/// A short prompt arrives while a long one is read on the same engine. It must get the higher
+/// priority, though it came later.
 #[test]
-fn short_work_goes_before_long_work_on_an_engine() {
+fn short_work_has_priority_over_long_work() {
     let mut policy = open(Kind::Laxity, 1, 1);
     let long = place(policy.as_mut(), job(1, 100_000, 1_000, 60_000), 1_000);
     let short = place(policy.as_mut(), job(2, 2_000, 1_000, 1_500), 1_000);
     assert!(priority_of(&short) > priority_of(&long));
 }
 
-/// Short work must not be kept out by a long prompt that has become urgent.
+/// A long prompt that has become urgent must not delay short work.
 #[test]
 fn urgent_long_work_does_not_overtake_short_work() {
     let mut policy = open(Kind::Laxity, 1, 1);
     let mut urgent = job(1, 200_000, 1_000, 25_000);
-    // 30 ms more than its prefill alone is expected to take.
+    // 30 ms more than the expected duration of its prefill alone.
     urgent.first_token_due_ms = MonoMs(1_000 + 6_727);
     let urgent = place(policy.as_mut(), urgent, 1_000);
     let short = place(policy.as_mut(), job(2, 2_000, 1_000, 1_500), 1_000);
     assert!(priority_of(&short) > priority_of(&urgent));
 }
 
-/// Two nodes number the engines differently and must still send long work to one end and short work
-/// to the other, or each would disturb the other's short work.
+/// Two nodes number the engines differently. Both must still send long work to one end of the rank
+/// order and short work to the other. Otherwise each would disturb the other's short work.
 #[test]
-fn nodes_agree_on_the_engines_kept_for_short_work() {
+fn nodes_agree_on_the_engines_reserved_for_short_work() {
     const ENGINES: u32 = 25;
     let spread = |shift: u32, prompt_tokens: u64| {
         let config = common::config(10);
@@ -83,9 +85,9 @@
     assert!(short.is_disjoint(&long), "{short:?} {long:?}");
 }
 
-/// A prompt longer than one engine's memory: the parts must add up, on different engines.
+/// A prompt is longer than one engine's memory. The parts must add up and be on different engines.
 #[test]
-fn a_group_holds_all_of_its_prompt_on_different_engines() {
+fn a_group_holds_its_whole_prompt_on_different_engines() {
     for prompt_tokens in [KV_TOKENS + 1, 700_000, 1_000_000, 2 * KV_TOKENS + 200_000] {
         let mut policy = open(Kind::Laxity, 6, 1);
         let out = place(policy.as_mut(), job(1, prompt_tokens, 0, 200_000), 0);
@@ -112,10 +114,10 @@
     }
 }
 
-/// A group's reservation failed, as another node was faster. It must not come again at once on the
-/// same news, nor be forgotten.
+/// A group's reservation failed because another node reserved the memory first. The group must not
+/// be tried again immediately with the same data, nor be forgotten.
 #[test]
-fn a_refused_group_waits_a_little_and_comes_again() {
+fn a_refused_group_is_tried_again_after_a_wait() {
     let mut policy = open(Kind::Laxity, 4, 1);
     let mut wanted = job(1, 600_000, 0, 200_000);
     let out = place(policy.as_mut(), wanted.clone(), 0);
@@ -126,9 +128,9 @@
     policy.on_end(request(1), Outcome::NotRun, MonoMs(3));
     wanted.avoid.push(refused_by);
     let again = place(policy.as_mut(), wanted, 3);
-    assert_eq!(again, [], "it waits");
+    assert_eq!(again, [], "the group waits");
     let mut out = Vec::new();
-    let wake_ms = policy.next_wake_ms().expect("it is queued");
+    let wake_ms = policy.next_wake_ms().expect("the group is queued");
     policy.decide(wake_ms + SpanMs(50), &mut out);
     let [
         Decision::Group {
@@ -142,11 +144,11 @@
     assert!(members.iter().all(|m| m.upstream != refused_by), "{out:?}");
 }
 
-/// Another node filled the engine a moment before. The acceptance tells of it, and a prompt that may
-/// be run again goes elsewhere; a notice that may not be drafted twice stays where it is, since the
-/// cancel could cross its beginning.
+/// Another node has just filled the engine, which the load sent with the acceptance shows. A prompt
+/// that may be run again is recalled and goes to another engine. One that may not be repeated
+/// stays, because the cancel could cross with the start of its work.
 #[test]
-fn work_behind_others_is_recalled_where_it_may_be_repeated() {
+fn repeatable_work_behind_other_work_is_recalled() {
     for idempotent in [true, false] {
         let mut policy = open(Kind::Laxity, 8, 1);
         let mut long = job(1, 50_000, 0, 20_000);
@@ -173,10 +175,10 @@
     }
 }
 
-/// The first token crosses the recall: the answer has begun, so the recall is void and the end
-/// counts as the job's end.
+/// The first token crosses with the recall. The answer has begun, so the recall has no effect and
+/// the end of the attempt is the end of the job.
 #[test]
-fn a_first_token_that_crosses_a_recall_wins() {
+fn a_first_token_cancels_a_recall_that_it_crosses() {
     let mut policy = open(Kind::Laxity, 8, 1);
     place(policy.as_mut(), job(1, 50_000, 0, 20_000), 0);
     policy.on_accepted(request(1), Tokens(0), &load(300_000, 0), MonoMs(3));
@@ -195,21 +197,21 @@
     assert_eq!((out, policy.next_wake_ms()), (vec![], None));
 }
 
-/// Short work arrives without pause for a minute while one long prompt waits for a free engine. It
-/// must be sent by the time at which its target needs it.
+/// Short work arrives continuously for a minute while one long prompt waits for a free engine. The
+/// long prompt must be sent in time for its target.
 #[test]
 fn long_work_is_not_starved_by_short_work() {
     let mut policy = open(Kind::Laxity, 4, 1);
     policy
         .admit(job(1_000_000, 60_000, 0, 20_000), MonoMs(0))
-        .expect("it is taken");
+        .expect("the job is admitted");
     let mut sent_ms = None;
     for sequence in 1..3_000 {
         let now_ms = sequence * 20;
         for engine in 0..4 {
             policy.on_load(UpstreamId(engine), &load(15_000, 0), MonoMs(now_ms));
         }
-        // Refused or not, it is pressure.
+        // The job adds load whether it is refused or not.
         let _ = policy.admit(job(sequence, 2_000, now_ms, 2_000), MonoMs(now_ms));
         let mut out = Vec::new();
         policy.decide(MonoMs(now_ms), &mut out);
@@ -227,9 +229,10 @@
     assert!(sent_ms.is_some_and(|at| at <= 20_000), "{sent_ms:?}");
 }
 
-/// An engine that failed twice gets nothing for a second, then one job, and all once that succeeds.
+/// An engine that failed twice gets no work for a second, then one job at a time, and all work
+/// again after that job succeeds.
 #[test]
-fn a_failing_engine_is_ejected_and_let_back_in_gently() {
+fn a_failing_engine_is_ejected_and_returns_gradually() {
     let mut policy = open(Kind::Laxity, 2, 1);
     let bad = UpstreamId(0);
     let mut sequence = 0;
@@ -254,6 +257,6 @@
         "{failing:?}"
     );
     let later: Vec<_> = (0..60).map(|_| run(policy.as_mut(), 2_500, None)).collect();
-    assert!(later.contains(&bad), "it is let back in");
+    assert!(later.contains(&bad), "the engine gets work again");
     assert_eq!(policy.verify(), []);
 }
--- a/crates/policy/tests/random.rs
+++ b/crates/policy/tests/random.rs
@@ -1,5 +1,5 @@
-//! Any sequence of events, on every policy: the verifier finds nothing after any step, every job
-//! is decided at the latest at its deadline, and the same calls give the same decisions.
+//! Random sequences of events for every policy. The verifier must find no violation after any step,
+//! every job must be decided by its deadline, and the same calls must give the same decisions.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use common::{facts, job, load, open, request};
 use proptest::prelude::*;
 
-/// One step of a random run; the numbers are reduced to what exists.
+/// One step of a random run. Numbers are reduced modulo the existing entries.
 #[derive(Clone, Debug)]
 enum Step {
     Admit {
@@ -31,10 +31,10 @@
     FirstToken(u64),
     End(u64, u8),
     Withdraw(u64),
-    Seen(u32),
+    Updated(u32),
     Leaving(u32),
     Gone(u32),
-    Pass(u64),
+    Advance(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -48,12 +48,12 @@
             .prop_map(|(engine, hash, stored, gap)| Step::Cache { engine, hash, stored, gap }),
         2 => (any::<u64>(), 0..300_000_u64).prop_map(|(n, backlog)| Step::Accepted(n, backlog)),
         2 => any::<u64>().prop_map(Step::FirstToken),
-        2 => (any::<u64>(), 0..4_u8).prop_map(|(n, how)| Step::End(n, how)),
+        2 => (any::<u64>(), 0..4_u8).prop_map(|(n, outcome_code)| Step::End(n, outcome_code)),
         1 => any::<u64>().prop_map(Step::Withdraw),
-        1 => engine.clone().prop_map(Step::Seen),
+        1 => engine.clone().prop_map(Step::Updated),
         1 => engine.clone().prop_map(Step::Leaving),
         1 => engine.prop_map(Step::Gone),
-        4 => (1..3_000_u64).prop_map(Step::Pass),
+        4 => (1..3_000_u64).prop_map(Step::Advance),
     ]
 }
 
@@ -75,7 +75,7 @@
             } => {
                 self.jobs += 1;
                 let job = job(self.jobs, 1 << length_log2, now_ms.0, *due_ms);
-                // A refusal is as good as a job here.
+                // A refusal is a valid result here.
                 let _ = self.policy.admit(job, now_ms);
             }
             Step::Load {
@@ -104,8 +104,8 @@
                     .on_accepted(known(n), Tokens(backlog / 7), &load(*backlog, 0), now_ms);
             }
             Step::FirstToken(n) => self.policy.on_first_token(known(n), now_ms),
-            Step::End(n, how) => {
-                let outcome = match how {
+            Step::End(n, outcome_code) => {
+                let outcome = match outcome_code {
                     0 => Outcome::Finished(Tokens(100)),
                     1 => Outcome::NotRun,
                     2 => Outcome::Failed,
@@ -114,10 +114,10 @@
                 self.policy.on_end(known(n), outcome, now_ms);
             }
             Step::Withdraw(n) => self.policy.withdraw(known(n), now_ms),
-            Step::Seen(engine) => self.policy.engine_updated(facts(*engine), now_ms),
+            Step::Updated(engine) => self.policy.engine_updated(facts(*engine), now_ms),
             Step::Leaving(engine) => self.policy.engine_leaving(UpstreamId(*engine), now_ms),
             Step::Gone(engine) => self.policy.engine_gone(UpstreamId(*engine), now_ms),
-            Step::Pass(span_ms) => self.now_ms = now_ms + SpanMs(*span_ms),
+            Step::Advance(span_ms) => self.now_ms = now_ms + SpanMs(*span_ms),
         }
         self.policy.decide(self.now_ms, &mut self.log);
     }
@@ -150,7 +150,7 @@
     #![proptest_config(ProptestConfig::with_cases(96))]
 
     #[test]
-    fn any_events_keep_the_invariants(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
+    fn random_events_keep_the_invariants(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
         for kind in Kind::ALL {
             let first = run(kind, seed, &steps)?;
             let second = run(kind, seed, &steps)?;
--- a/crates/policy/tests/refusals.rs
+++ b/crates/policy/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! Refusals: at once, with the right reason and a time to come back, and nothing is left behind.
+//! Refusals are immediate, have the right reason and a retry time, and leave nothing in the tables.
 
 mod common;
 
@@ -6,50 +6,50 @@
 use bluebell_policy::{Decision, Job, Kind, RefusalReason};
 use common::{KV_TOKENS, facts, job, load, open};
 
-/// What a case changes before the job comes.
-enum Before {
+/// The change made before the job is admitted.
+enum Preparation {
     Nothing,
     NoEngines,
     Busy,
 }
 
-/// Each way in which a job cannot be taken, and what the caller is told.
+/// Each reason for which a job cannot be admitted, with the refusal that is returned.
 #[test]
-fn what_cannot_be_done_is_refused_at_once() {
-    let cases: Vec<(&str, Before, Job, RefusalReason)> = vec![
+fn impossible_jobs_are_refused_immediately() {
+    let cases: Vec<(&str, Preparation, Job, RefusalReason)> = vec![
         (
             "no engine serves the model",
-            Before::NoEngines,
+            Preparation::NoEngines,
             job(1, 2_000, 1_000, 500),
             RefusalReason::NoEngine,
         ),
         (
             "longer than a whole group",
-            Before::Nothing,
+            Preparation::Nothing,
             job(1, 8 * KV_TOKENS, 1_000, 500_000),
             RefusalReason::TooLong,
         ),
         (
             "the prefill alone ends after the deadline",
-            Before::Nothing,
+            Preparation::Nothing,
             job(1, 400_000, 1_000, 100),
             RefusalReason::TooLate,
         ),
         (
             "every engine has more ahead than the target allows",
-            Before::Busy,
+            Preparation::Busy,
             job(1, 100_000, 1_000, 5_000),
             RefusalReason::Overloaded,
         ),
     ];
-    for (name, before, job, reason) in cases {
-        let engines = if matches!(before, Before::NoEngines) {
+    for (name, preparation, job, reason) in cases {
+        let engines = if matches!(preparation, Preparation::NoEngines) {
             0
         } else {
             4
         };
         let mut policy = open(Kind::Laxity, engines, 1);
-        if matches!(before, Before::Busy) {
+        if matches!(preparation, Preparation::Busy) {
             for engine in 0..engines {
                 policy.on_load(UpstreamId(engine), &load(400_000, 0), MonoMs(1_000));
             }
@@ -65,9 +65,9 @@
     }
 }
 
-/// A long prompt is taken while all engines are about to be free; then they fill with other nodes'
-/// work and stay full. The caller must hear of it before its deadline, not at it or never: the
-/// policy wakes by itself and refuses as soon as the prefill can no longer end in time.
+/// A long prompt is admitted while all engines are about to become free. Then other nodes' work
+/// fills them and they stay full. The caller must get a refusal before its deadline. The policy
+/// must wake up by itself and refuse as soon as the prefill can no longer end in time.
 #[test]
 fn a_queued_job_is_refused_as_soon_as_it_cannot_end_in_time() {
     let mut policy = open(Kind::Laxity, 2, 1);
@@ -76,7 +76,9 @@
     }
     let mut waiting = job(1, 60_000, 1_000, 20_000);
     waiting.deadline_ms = MonoMs(41_000);
-    policy.admit(waiting, MonoMs(1_000)).expect("it may wait");
+    policy
+        .admit(waiting, MonoMs(1_000))
+        .expect("the job may wait");
     let mut now_ms = MonoMs(1_000);
     let mut out = Vec::new();
     while out.is_empty() {
@@ -85,10 +87,7 @@
         }
         policy.decide(now_ms, &mut out);
         now_ms = policy.next_wake_ms().unwrap_or(now_ms + SpanMs(20));
-        assert!(
-            now_ms <= MonoMs(41_000),
-            "nothing was decided by the deadline"
-        );
+        assert!(now_ms <= MonoMs(41_000), "no decision by the deadline");
     }
     let refused = matches!(out[0], Decision::Refuse { refusal, .. }
         if refusal.reason == RefusalReason::TooLate);
@@ -97,16 +96,16 @@
     assert_eq!(policy.verify(), []);
 }
 
-/// All engines failed twice within a second and are ejected. A caller that comes now must not wait
-/// in the queue until its deadline for an engine to be trusted again.
+/// All engines failed twice within a second and are ejected. A job that arrives now must not wait
+/// in the queue until its deadline for an engine to return.
 #[test]
-fn with_all_engines_ejected_work_is_still_decided() {
+fn jobs_are_decided_while_all_engines_are_ejected() {
     let mut policy = open(Kind::Laxity, 2, 1);
     let mut out = Vec::new();
     for sequence in 1..=20 {
         policy
             .admit(job(sequence, 2_000, 1_000, 500), MonoMs(1_000))
-            .expect("it fits");
+            .expect("the job fits");
         policy.decide(MonoMs(1_000), &mut out);
         policy.on_end(
             common::request(sequence),
@@ -117,14 +116,14 @@
     out.clear();
     policy
         .admit(job(99, 2_000, 1_100, 500), MonoMs(1_100))
-        .expect("it fits");
+        .expect("the job fits");
     policy.decide(MonoMs(1_100), &mut out);
     assert_eq!(out.len(), 1, "{out:?}");
 }
 
-/// An engine that comes back after it left takes work again.
+/// An engine that returns after it has left gets work again.
 #[test]
-fn a_leaving_engine_gets_nothing_until_it_is_seen_again() {
+fn a_leaving_engine_gets_no_work_until_it_returns() {
     let mut policy = open(Kind::Laxity, 1, 1);
     let mut report = load(0, 0);
     report.leaving = true;
@@ -134,13 +133,14 @@
     policy.engine_updated(facts(0), MonoMs(2_000));
     policy
         .admit(job(2, 2_000, 2_000, 500), MonoMs(2_000))
-        .expect("the engine is there");
+        .expect("the engine accepts work again");
 }
 
-/// A prompt was admitted and its engine died; meanwhile the fleet is full and its first-token target
-/// has passed. It must not be refused now, since its deadline can still be met.
+/// A prompt was admitted and its engine failed. Meanwhile the fleet is full and the prompt's
+/// first-token target has passed. It must not be refused now, because its deadline can still be
+/// met.
 #[test]
-fn work_that_comes_again_is_refused_only_for_its_deadline() {
+fn a_retried_job_is_refused_only_for_its_deadline() {
     let mut policy = open(Kind::Laxity, 4, 1);
     for engine in 0..4 {
         policy.on_load(UpstreamId(engine), &load(400_000, 0), MonoMs(20_000));
