--- a/crates/base/src/bands.rs
+++ b/crates/base/src/bands.rs
@@ -1,4 +1,4 @@
-//! Prompt-length bands, by which latency is broken down in metrics, load reports and benches.
+//! Prompt-length bands, by which latency is grouped in metrics, load reports and benchmarks.
 //!
 //! Invariants: the bands are disjoint, ascending and cover every length.
 
@@ -8,7 +8,8 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// A range of prompt lengths in tokens, lower bound included, upper bound not.
+/// A range of prompt lengths in tokens. The lower bound is included, the upper bound is not, except
+/// where a variant says otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum LengthBand {
     /// Fewer than 1,000.
@@ -46,7 +47,7 @@
         Self::Over1M,
     ];
 
-    /// The band of a prompt.
+    /// Returns the band of a prompt.
     pub fn of(prompt_tokens: Tokens) -> Self {
         match prompt_tokens.0 {
             0..1_000 => Self::Under1k,
@@ -59,7 +60,7 @@
         }
     }
 
-    /// The text used in labels and tables.
+    /// Returns the text used in labels and tables.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Under1k => "0-1k",
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Its position in [`LengthBand::ALL`].
+    /// Returns the position in [`LengthBand::ALL`].
     pub fn index(self) -> usize {
         self as usize
     }
--- a/crates/base/src/ids/mod.rs
+++ b/crates/base/src/ids/mod.rs
@@ -1,8 +1,8 @@
-//! Entity ids: dense indexes local to a process, and the few ids that are unique in the fleet.
+//! Ids of entities: dense indexes local to a process, and the few ids that are unique in the fleet.
 //!
-//! Terms: an *incarnation* is one run of one node process; it is drawn at random at start, so a
-//! restarted node never shares it with its predecessor. A *request id* joins an incarnation with
-//! a sequence number of that incarnation, so no two requests of the fleet share one.
+//! Terms: an *incarnation* is one run of one node process; its id is drawn at random at the start,
+//! so a restarted node never has the same one as before. A *request id* combines an incarnation
+//! with a sequence number of that incarnation, so no two requests of the fleet share one.
 
 use crate as bluebell_base;
 use crate::define_id;
@@ -12,42 +12,43 @@
 use std::str::FromStr;
 
 define_id! {
-    /// An upstream's index in this process's tables.
+    /// Index of an upstream in this process's tables.
     UpstreamId(u32) = "up";
-    /// A class of work's index in the configuration in force.
+    /// Index of a class of work in the configuration in force.
     ClassId(u32) = "class";
-    /// A client account's index in the configuration in force.
+    /// Index of a client account in the configuration in force.
     AccountId(u32) = "acct";
-    /// A model's index in this process's tables.
+    /// Index of a model in this process's tables.
     ModelId(u32) = "model";
-    /// A failure domain's index in this process's tables.
+    /// Index of a failure domain in this process's tables.
     DomainId(u32) = "dom";
-    /// A shard of the idempotency-key space.
+    /// Shard of the idempotency-key space.
     ShardId(u32) = "shard";
-    /// The number of an attempt to run a request, counted from 1.
+    /// Number of an attempt to run a request, counted from 1.
     AttemptNo(u32) = "try";
-    /// The position of an event in an answer, counted from 0.
+    /// Position of an event in an answer, counted from 0.
     EventSeq(u64) = "ev";
-    /// A record's position in a log stream.
+    /// Position of a record in a log stream.
     Offset(u64) = "off";
-    /// A version of the operators' configuration, counted from 1; 0 is "none yet".
+    /// Version of the operators' configuration, counted from 1. 0 means that there is none yet.
     ConfigVersion(u64) = "cfg";
-    /// A fencing number: larger means granted later.
+    /// Fencing number. A larger number was granted later.
     Fencing(u64) = "fence";
-    /// One run of one node process; drawn at random at start.
+    /// One run of one node process, drawn at random at the start.
     Incarnation(u64) = "inc";
-    /// An operation on the log, drawn at random so that a lost answer can be looked up.
+    /// An operation on the log, drawn at random so that the result can be looked up if the answer
+    /// is lost.
     OperationId(u64) = "op";
     /// A reservation of engine memory.
     ReservationId(u64) = "rsv";
 }
 
-/// A request's identity, unique in the fleet, from admission to its last event.
+/// Identity of a request from its admission to its last event, unique in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId {
-    /// The incarnation that admitted the request.
+    /// Incarnation that admitted the request.
     pub incarnation: Incarnation,
-    /// Counted from 1 by that incarnation.
+    /// Sequence number of the request in that incarnation, counted from 1.
     pub sequence: u64,
 }
 
@@ -70,7 +71,7 @@
             incarnation: Incarnation(incarnation),
             sequence,
         };
-        // Only the printed form is accepted, so that a text and its id are one to one.
+        // Only the printed form is accepted, so that each id has exactly one text.
         if id.to_string() != text {
             return Err(error());
         }
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -1,13 +1,13 @@
-//! The words every other package speaks: ids, sizes, rates, instants, text names and the verdict
-//! error, with the macros that derive their common traits.
+//! The basic types used by every other package: ids, sizes, rates, instants, text names and the
+//! error type with its verdict, and the macros that derive their common traits.
 //!
 //! Terms:
 //! - an *id* is a small integer newtype that prints as a short name (`node3`) and parses back;
 //! - a *name* is an `Arc<str>` newtype taken from settings or configuration;
 //! - a *verdict* says whether a request may have run upstream.
 //!
-//! Invariants: every type here prints with `Display` and parses with `FromStr` to an equal value,
-//! and no type here does I/O or reads a clock.
+//! Invariants: every type here prints with `Display` and parses with `FromStr` to an equal value;
+//! no type here does I/O or reads a clock.
 
 pub mod bands;
 pub mod ids;
@@ -16,7 +16,7 @@
 pub mod units;
 pub mod verdict;
 
-/// The types nearly every package imports.
+/// The types that nearly every package imports.
 pub mod prelude {
     pub use crate::bands::LengthBand;
     pub use crate::ids::*;
@@ -26,7 +26,7 @@
     pub use std::sync::Arc;
 }
 
-/// Used by the exported macros; not part of the interface.
+/// Items used by the exported macros; not part of the public interface.
 #[doc(hidden)]
 pub mod __private {
     pub use serde;
--- a/crates/base/src/macros/mod.rs
+++ b/crates/base/src/macros/mod.rs
@@ -1,9 +1,9 @@
-//! The derive macros of the workspace: each declares a newtype with its whole common trait set.
+//! Macros that declare newtypes with their common traits.
 //!
-//! Terms: a *prefix* is the text an id prints before its number; a *unit* the text a size prints
-//! after it.
+//! Terms: a *prefix* is the text that an id prints before its number; a *unit* is the text that a
+//! size prints after it.
 
-/// Declares integer ids that print as `prefix` + number and parse back from the same text.
+/// Declares integer ids that print as the prefix and the number, and parse back from the same text.
 #[macro_export]
 macro_rules! define_id {
     ($($(#[$meta:meta])* $name:ident($inner:ty) = $prefix:literal;)+) => {$(
@@ -16,7 +16,7 @@
         pub struct $name(pub $inner);
 
         impl $name {
-            /// The number as an index into a dense table.
+            /// Returns the number as an index into a dense table.
             pub fn index(self) -> usize {
                 self.0 as usize
             }
@@ -44,7 +44,7 @@
     )+};
 }
 
-/// Declares text newtypes over `Arc<str>`; an empty text or one with control characters does not
+/// Declares text newtypes over `Arc<str>`. An empty text or a text with control characters does not
 /// parse.
 #[macro_export]
 macro_rules! define_text {
@@ -58,7 +58,7 @@
         pub struct $name(pub ::std::sync::Arc<str>);
 
         impl $name {
-            /// The text itself.
+            /// Returns the text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -90,7 +90,7 @@
     )+};
 }
 
-/// Declares integer sizes that print with a unit and add, subtract (saturating) and compare.
+/// Declares integer sizes that print with a unit. Addition and subtraction saturate.
 #[macro_export]
 macro_rules! define_size {
     ($($(#[$meta:meta])* $name:ident = $unit:literal;)+) => {$(
@@ -103,10 +103,10 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// Nothing of it.
+            /// The size zero.
             pub const ZERO: Self = Self(0);
 
-            /// The difference, or zero where `other` is the larger.
+            /// Returns the difference, or zero if `other` is larger.
             pub fn saturating_sub(self, other: Self) -> Self {
                 Self(self.0.saturating_sub(other.0))
             }
--- a/crates/base/src/text/mod.rs
+++ b/crates/base/src/text/mod.rs
@@ -1,6 +1,6 @@
-//! Text newtypes and the error of parsing any base type.
+//! Text newtypes, and the parse error of all base types.
 //!
-//! Terms: a *name* identifies a thing across processes, where the integer ids of [`crate::ids`]
+//! Terms: a *name* identifies an entity across processes, whereas the integer ids of [`crate::ids`]
 //! are local to one process.
 
 use crate as bluebell_base;
@@ -8,51 +8,52 @@
 use std::sync::Arc;
 
 define_text! {
-    /// An upstream as the configuration names it: a model engine or a plain service replica.
+    /// Name of an upstream in the configuration. An upstream is a model engine or a replica of a
+    /// plain service.
     UpstreamName;
-    /// A model as callers name it.
+    /// Name of a model, as used by callers.
     ModelName;
-    /// A class of work as operators name it.
+    /// Name of a class of work, given by operators.
     ClassName;
-    /// A client account as operators name it.
+    /// Name of a client account, given by operators.
     AccountName;
-    /// A failure domain, such as `north-a`.
+    /// Name of a failure domain, such as `north-a`.
     DomainName;
-    /// A region, such as `north`.
+    /// Name of a region, such as `north`.
     RegionName;
-    /// A VM as the platform's list names it.
+    /// Name of a VM in the platform's list.
     VmName;
-    /// A plain service as the configuration names it.
+    /// Name of a plain service in the configuration.
     ServiceName;
-    /// The caller's idempotency key, unique within its client account.
+    /// Idempotency key of a caller, unique within its client account.
     IdempotencyKey;
-    /// A deployment: the upstreams of one kind, such as all replicas of one plain service.
+    /// Name of a deployment: all upstreams of one kind, such as the replicas of one plain service.
     DeploymentName;
-    /// A stream of the platform's log.
+    /// Name of a stream of the platform's log.
     StreamName;
-    /// A network address, `ip:port`.
+    /// Network address, `ip:port`.
     Address;
 }
 
-/// A text that does not denote a value of the wanted type.
+/// Error for a text that is not a value of the expected type.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{text:?} is not a valid {wanted}")]
+#[error("{text:?} is not a valid {expected}")]
 pub struct ParseError {
-    /// The type that was wanted.
-    pub wanted: &'static str,
-    /// The text that was given, cut to a loggable length.
+    /// Name of the expected type.
+    pub expected: &'static str,
+    /// Rejected text, cut to a length suitable for logs.
     pub text: Arc<str>,
 }
 
 impl ParseError {
-    /// The longest part of a refused text that is kept, in characters.
-    const KEPT_CHARS: usize = 80;
+    /// Length to which a rejected text is cut, in characters.
+    const MAX_KEPT_CHARS: usize = 80;
 
-    /// Makes the error for `text`, keeping only its beginning.
-    pub fn new(wanted: &'static str, text: &str) -> Self {
-        let kept: String = text.chars().take(Self::KEPT_CHARS).collect();
+    /// Creates the error for `text`, of which it keeps only the beginning.
+    pub fn new(expected: &'static str, text: &str) -> Self {
+        let kept: String = text.chars().take(Self::MAX_KEPT_CHARS).collect();
         Self {
-            wanted,
+            expected,
             text: kept.into(),
         }
     }
--- a/crates/base/src/units/mod.rs
+++ b/crates/base/src/units/mod.rs
@@ -1,8 +1,8 @@
 //! Sizes, rates and instants.
 //!
-//! Terms: a *monotonic instant* counts from the start of the process (or of the virtual clock)
-//! and never goes back; a *wall instant* counts from 1970 and may. Deadlines and leases use only
-//! the monotonic one.
+//! Terms: a *monotonic instant* counts from the start of the process (or of the virtual clock) and
+//! never goes back; a *wall instant* counts from 1970 and may go back. Deadlines and leases use
+//! only monotonic instants.
 
 use crate as bluebell_base;
 use crate::define_size;
@@ -14,23 +14,23 @@
 use std::time::Duration;
 
 define_size! {
-    /// Model tokens.
+    /// Number of model tokens.
     Tokens = "tok";
-    /// Bytes.
+    /// Number of bytes.
     Bytes = "B";
-    /// A span of time in milliseconds.
+    /// Duration in milliseconds.
     SpanMs = "ms";
-    /// Milliseconds since 1970, by the VM's wall clock; not monotonic.
+    /// Wall-clock time of the VM in milliseconds since 1970; not monotonic.
     WallMs = "ms";
 }
 
 impl SpanMs {
-    /// A span of whole seconds.
+    /// Creates a duration of whole seconds.
     pub const fn from_secs(secs: u64) -> Self {
         Self(secs * 1000)
     }
 
-    /// The span multiplied by `factor`, rounded down.
+    /// Returns the duration multiplied by `factor`, rounded down.
     pub fn mul_f64(self, factor: f64) -> Self {
         Self((self.0 as f64 * factor) as u64)
     }
@@ -42,7 +42,7 @@
     }
 }
 
-/// A monotonic instant in milliseconds since the process (or virtual clock) started.
+/// Monotonic instant in milliseconds since the start of the process (or of the virtual clock).
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -50,7 +50,7 @@
 pub struct MonoMs(pub u64);
 
 impl MonoMs {
-    /// The time from `earlier` to `self`, zero where `earlier` is the later.
+    /// Returns the time from `earlier` to `self`, or zero if `earlier` is later.
     pub fn since(self, earlier: MonoMs) -> SpanMs {
         SpanMs(self.0.saturating_sub(earlier.0))
     }
@@ -88,7 +88,7 @@
     }
 }
 
-/// A rate of events or sizes in units per second.
+/// Rate of events or sizes, in units per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct PerSecond(pub f64);
--- a/crates/base/src/verdict/mod.rs
+++ b/crates/base/src/verdict/mod.rs
@@ -1,7 +1,7 @@
-//! The verdict error: every failure says whether the request may have run upstream.
+//! The error type with its verdict: every failure says whether the request may have run upstream.
 //!
-//! Invariants: `NotRun` is used only where it is certain that no upstream has begun or can still
-//! begin the work; whoever is unsure says `MayHaveRun`.
+//! Invariants: `NotRun` is used only if it is certain that no upstream has started the work or can
+//! still start it; in case of doubt the verdict is `MayHaveRun`.
 
 use crate::text::ParseError;
 use crate::units::SpanMs;
@@ -10,20 +10,20 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// Whether a request may have run.
+/// Statement about the execution of a failed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// It is certain that it did not and will not run.
+    /// The request has certainly not run and will not run.
     NotRun,
-    /// It may have run, or may still be running; nobody can tell.
+    /// The request may have run, or may still be running. This cannot be determined.
     MayHaveRun,
-    /// It ran; the answer, or part of it, is lost or withheld.
+    /// The request has run. Its answer, or a part of it, is lost or withheld.
     Ran,
 }
 
 impl Verdict {
-    /// The text used in answers and logs.
+    /// Returns the text used in answers and logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Verdict::NotRun => "not_run",
@@ -52,68 +52,68 @@
     }
 }
 
-/// What kind of failure it was; decides the status code a caller sees.
+/// Kind of a failure. It determines the status code of the answer to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ErrorKind {
     /// The request is malformed or names something unknown (400).
     Invalid,
-    /// No or a wrong credential (401).
+    /// The credential is missing or wrong (401).
     Unauthenticated,
-    /// The credential does not allow this (403).
+    /// The credential does not allow the request (403).
     Forbidden,
-    /// The thing asked for does not exist (404).
+    /// The requested resource does not exist (404).
     NotFound,
-    /// It clashes with another operation or with an earlier use of the key (409).
+    /// The request conflicts with another operation or with an earlier use of the key (409).
     Conflict,
     /// The body is over the limit (413).
     TooLarge,
-    /// Refused for lack of capacity; come back later (429).
+    /// The request was refused for lack of capacity and may be retried later (429).
     Overloaded,
-    /// An upstream answered wrongly or its connection broke (502).
+    /// An upstream sent a wrong answer, or the connection to it broke (502).
     Upstream,
-    /// The node or a service it needs can't serve now (503).
+    /// The node or a service that it needs is currently unavailable (503).
     Unavailable,
-    /// The deadline passed (504).
+    /// The deadline has passed (504).
     DeadlineExceeded,
-    /// The caller went away or asked to cancel (499).
+    /// The caller disconnected or cancelled the request (499).
     Cancelled,
-    /// A fault of the node itself (500).
+    /// A fault in the node itself (500).
     Internal,
 }
 
-/// A failure with its verdict.
+/// A failure and its verdict.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{message} ({verdict})")]
 pub struct Error {
-    /// Whether the request may have run.
+    /// Statement whether the request may have run.
     pub verdict: Verdict,
-    /// What kind of failure it was.
+    /// Kind of the failure.
     pub kind: ErrorKind,
-    /// What happened, for a person; holds no secret.
+    /// Description of the failure for people; contains no secret.
     pub message: Arc<str>,
-    /// When to come back, where that helps.
+    /// Time after which to retry, if a retry may help.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<SpanMs>,
 }
 
 impl Error {
-    /// A failure before which nothing can have run.
+    /// Creates a failure of a request that certainly has not run.
     pub fn not_run(kind: ErrorKind, message: impl Into<Arc<str>>) -> Self {
         Self::new(Verdict::NotRun, kind, message)
     }
 
-    /// A failure after which it is unknown whether the request ran.
+    /// Creates a failure of a request that may have run.
     pub fn may_have_run(kind: ErrorKind, message: impl Into<Arc<str>>) -> Self {
         Self::new(Verdict::MayHaveRun, kind, message)
     }
 
-    /// A failure of a request that is known to have run.
+    /// Creates a failure of a request that is known to have run.
     pub fn ran(kind: ErrorKind, message: impl Into<Arc<str>>) -> Self {
         Self::new(Verdict::Ran, kind, message)
     }
 
-    /// A failure with the verdict given.
+    /// Creates a failure with the given verdict.
     pub fn new(verdict: Verdict, kind: ErrorKind, message: impl Into<Arc<str>>) -> Self {
         Self {
             verdict,
@@ -123,7 +123,7 @@
         }
     }
 
-    /// The same failure with a time to come back.
+    /// Returns the failure with a retry time.
     pub fn retry_after(mut self, span_ms: SpanMs) -> Self {
         self.retry_after_ms = Some(span_ms);
         self
--- a/crates/base/tests/texts.rs
+++ b/crates/base/tests/texts.rs
@@ -1,4 +1,5 @@
-//! Every base type prints and parses back; the table is read as text in, text out or error.
+//! Checks that every base type prints and parses back. Each line of the table has the input text
+//! and the printed value or the error.
 
 use bluebell_base::prelude::*;
 use bluebell_base::text::ParseError;
@@ -16,7 +17,7 @@
         }
         Err(error) => format!("error: {error}"),
     };
-    writeln!(out, "{kind:<10} {text:<34} => {shown}").expect("a string takes all");
+    writeln!(out, "{kind:<10} {text:<34} => {shown}").expect("writing to a string cannot fail");
 }
 
 #[test]
