--- a/crates/config/src/check/classes.rs
+++ b/crates/config/src/check/classes.rs
@@ -1,13 +1,13 @@
 //! The check of classes of work and their targets.
 
-use crate::check::{Faults, MAX_CLASSES, Unique, names};
+use crate::check::{Duplicates, Faults, MAX_CLASSES, names};
 use crate::fleet::{Class, FirstTokenTarget};
 use bluebell_base::prelude::*;
 
-/// How many first-token targets a class may have.
+/// Maximum number of first-token targets of a class.
 const MAX_TARGETS: usize = 16;
 
-/// The longest span in which answers of a class may end: a day.
+/// Maximum time within which answers of a class must end: one day.
 const MAX_END_MS: SpanMs = SpanMs::from_secs(24 * 60 * 60);
 
 /// Checks all classes.
@@ -15,13 +15,13 @@
     if classes.is_empty() {
         faults.add("classes", "at least one class of work is needed");
     }
-    faults.count("classes", classes.len(), MAX_CLASSES);
-    let mut seen = Unique::default();
+    faults.check_count("classes", classes.len(), MAX_CLASSES);
+    let mut seen = Duplicates::default();
     for (i, class) in classes.iter().enumerate() {
         let path = format!("classes[{i}]");
         names::check(&path, "classes", class.name.as_str(), i, &mut seen, faults);
         check_targets(&path, class, faults);
-        faults.range(format!("{path}.end_ms"), class.end_ms.0, 1..=MAX_END_MS.0);
+        faults.check_range(format!("{path}.end_ms"), class.end_ms.0, 1..=MAX_END_MS.0);
     }
 }
 
@@ -32,7 +32,7 @@
         faults.add(path, "needs at least one target");
         return;
     }
-    faults.count(&path, targets.len(), MAX_TARGETS);
+    faults.check_count(&path, targets.len(), MAX_TARGETS);
     let last = targets.len() - 1;
     for (i, target) in targets.iter().enumerate() {
         let path = format!("{path}[{i}]");
--- a/crates/config/src/check/mod.rs
+++ b/crates/config/src/check/mod.rs
@@ -1,7 +1,7 @@
-//! The check of a configuration: every fault, with its path and reason.
+//! The check of a configuration. It reports every fault with its path and reason.
 //!
-//! Invariants: a configuration without faults can be put into force by every part of a node; the
-//! faults come in the order of the file's fields and are the same on every run.
+//! Invariants: a configuration without faults can be applied by every part of a node; the faults
+//! are in the order of the file's fields and are the same on every run.
 
 mod classes;
 mod names;
@@ -13,40 +13,41 @@
 use std::fmt;
 use std::ops::RangeInclusive;
 
-/// The longest configuration text, in bytes.
-pub const CONFIG_BYTES: usize = 4 * 1024 * 1024;
+/// Maximum length of a configuration text, in bytes.
+pub const MAX_CONFIG_BYTES: usize = 4 * 1024 * 1024;
 
-/// How many classes of work there may be.
+/// Maximum number of classes of work.
 pub const MAX_CLASSES: usize = 64;
 
-/// How many client accounts there may be.
+/// Maximum number of client accounts.
 pub const MAX_ACCOUNTS: usize = 10_000;
 
-/// How many models, services and deployments there may be of each.
-pub const MAX_OTHERS: usize = 1000;
+/// Maximum number of entries in each of the lists of models, services and deployments.
+pub const MAX_LIST_ENTRIES: usize = 1000;
 
-/// The range of `limits.body_bytes`.
+/// Range of `limits.body_bytes`.
 ///
-/// The upper end is what the callers' interface can read over after a refusal.
-pub const BODY_BYTES: RangeInclusive<u64> = 1024..=64 * 1024 * 1024;
+/// The upper end is the size of a body that the callers' interface can still read and discard after
+/// it has refused the request.
+pub const BODY_BYTES_RANGE: RangeInclusive<u64> = 1024..=64 * 1024 * 1024;
 
-/// The range of `limits.answer_tokens`.
-pub const ANSWER_TOKENS: RangeInclusive<u64> = 1..=1_000_000;
+/// Range of `limits.answer_tokens`.
+pub const ANSWER_TOKENS_RANGE: RangeInclusive<u64> = 1..=1_000_000;
 
-/// The SHA-256 of the empty key.
+/// SHA-256 of the empty key.
 const EMPTY_KEY_SHA256: &str = "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855";
 
-/// One fault of a configuration.
+/// A fault of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Fault {
-    /// Where, such as `classes[2].end_ms`; `.` is the whole file.
+    /// Path of the faulty value, such as `classes[2].end_ms`; `.` is the whole file.
     pub path: Arc<str>,
-    /// What is wrong and what is wanted.
+    /// Description of the fault and of the expected value.
     pub reason: Arc<str>,
 }
 
 impl Fault {
-    /// Makes a fault.
+    /// Creates a fault.
     pub fn new(path: impl Into<Arc<str>>, reason: impl Into<Arc<str>>) -> Self {
         Self {
             path: path.into(),
@@ -64,10 +65,14 @@
 /// Parses and checks a configuration file.
 ///
 /// # Errors
-/// All faults found; a text that is not JSON of the right shape gives only the first one.
+/// Returns all faults found. If the text is not JSON of the expected structure, only the first
+/// fault is returned.
 pub fn parse(text: &str) -> Result<FleetConfig, Vec<Fault>> {
-    if text.len() > CONFIG_BYTES {
-        let reason = format!("has {} bytes; at most {CONFIG_BYTES} are taken", text.len());
+    if text.len() > MAX_CONFIG_BYTES {
+        let reason = format!(
+            "has {} bytes; at most {MAX_CONFIG_BYTES} are taken",
+            text.len()
+        );
         return Err(vec![Fault::new(".", reason)]);
     }
     let config = decode(text).map_err(|fault| vec![fault])?;
@@ -81,7 +86,7 @@
 /// Decodes a configuration without checking it.
 ///
 /// # Errors
-/// Why the text is not JSON of the right shape.
+/// Returns the first place where the text is not JSON of the expected structure.
 pub fn decode(text: &str) -> Result<FleetConfig, Fault> {
     let mut deserializer = serde_json::Deserializer::from_str(text);
     let config = serde_path_to_error::deserialize(&mut deserializer)
@@ -91,7 +96,8 @@
     Ok(config)
 }
 
-/// Checks a configuration; empty where it may come into force.
+/// Checks a configuration and returns its faults. A configuration without faults may be put in
+/// force.
 pub fn check(config: &FleetConfig) -> Vec<Fault> {
     let mut faults = Faults::default();
     classes::check(&config.classes, &mut faults);
@@ -103,7 +109,7 @@
     faults.list
 }
 
-/// The faults found so far.
+/// Collects the faults found so far.
 #[derive(Debug, Default)]
 struct Faults {
     list: Vec<Fault>,
@@ -114,18 +120,18 @@
         self.list.push(Fault::new(path, reason));
     }
 
-    /// Faults a list that is too long.
-    fn count(&mut self, path: &str, count: usize, most: usize) {
-        if count > most {
+    /// Adds a fault if a list is too long.
+    fn check_count(&mut self, path: &str, count: usize, max: usize) {
+        if count > max {
             self.add(
                 path,
-                format!("has {count} entries; at most {most} are taken"),
+                format!("has {count} entries; at most {max} are taken"),
             );
         }
     }
 
-    /// Faults a number out of its range.
-    fn range(&mut self, path: impl Into<Arc<str>>, value: u64, range: RangeInclusive<u64>) {
+    /// Adds a fault if a number is out of its range.
+    fn check_range(&mut self, path: impl Into<Arc<str>>, value: u64, range: RangeInclusive<u64>) {
         if !range.contains(&value) {
             let (first, last) = range.into_inner();
             self.add(path, format!("is {value}; must be from {first} to {last}"));
@@ -133,24 +139,25 @@
     }
 }
 
-/// Finds values that an earlier entry has too; in one pass, for lists of thousands.
+/// Finds values that an earlier entry also has. It takes one pass, for lists of thousands of
+/// entries.
 #[derive(Debug, Default)]
-struct Unique<'a> {
+struct Duplicates<'a> {
     seen: HashMap<&'a str, usize>,
 }
 
-impl<'a> Unique<'a> {
-    /// The index of the earlier entry with that value.
-    fn earlier(&mut self, value: &'a str, index: usize) -> Option<usize> {
+impl<'a> Duplicates<'a> {
+    /// Returns the index of the earlier entry with the same value.
+    fn earlier_index(&mut self, value: &'a str, index: usize) -> Option<usize> {
         let first = *self.seen.entry(value).or_insert(index);
         (first != index).then_some(first)
     }
 }
 
 fn check_accounts(accounts: &[Account], faults: &mut Faults) {
-    faults.count("accounts", accounts.len(), MAX_ACCOUNTS);
-    let mut names = Unique::default();
-    let mut keys = Unique::default();
+    faults.check_count("accounts", accounts.len(), MAX_ACCOUNTS);
+    let mut names = Duplicates::default();
+    let mut keys = Duplicates::default();
     for (i, account) in accounts.iter().enumerate() {
         let path = format!("accounts[{i}]");
         names::check(
@@ -162,7 +169,7 @@
             faults,
         );
         check_key(&path, &account.key_sha256, faults);
-        if let Some(first) = keys.earlier(&account.key_sha256, i) {
+        if let Some(first) = keys.earlier_index(&account.key_sha256, i) {
             let reason = format!("is the key of accounts[{first}] too; a key names one account");
             faults.add(format!("{path}.key_sha256"), reason);
         }
@@ -170,9 +177,9 @@
 }
 
 fn check_key(path: &str, key_sha256: &str, faults: &mut Faults) {
-    let digit = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
+    let is_digit = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
     let path = format!("{path}.key_sha256");
-    if key_sha256.len() != 64 || !key_sha256.bytes().all(digit) {
+    if key_sha256.len() != 64 || !key_sha256.bytes().all(is_digit) {
         faults.add(path, "must be 64 lower-case hexadecimal digits");
     } else if key_sha256 == EMPTY_KEY_SHA256 {
         faults.add(path, "is the hash of the empty key");
@@ -180,18 +187,18 @@
 }
 
 fn check_models(models: &[Model], faults: &mut Faults) {
-    faults.count("models", models.len(), MAX_OTHERS);
-    let mut seen = Unique::default();
+    faults.check_count("models", models.len(), MAX_LIST_ENTRIES);
+    let mut seen = Duplicates::default();
     for (i, model) in models.iter().enumerate() {
         let path = format!("models[{i}]");
         names::check_model(&path, model.name.as_str(), i, &mut seen, faults);
-        faults.range(format!("{path}.version"), model.version, 1..=u64::MAX);
+        faults.check_range(format!("{path}.version"), model.version, 1..=u64::MAX);
     }
 }
 
 fn check_deployments(deployments: &[Deployment], faults: &mut Faults) {
-    faults.count("deployments", deployments.len(), MAX_OTHERS);
-    let mut seen = Unique::default();
+    faults.check_count("deployments", deployments.len(), MAX_LIST_ENTRIES);
+    let mut seen = Duplicates::default();
     for (i, deployment) in deployments.iter().enumerate() {
         let path = format!("deployments[{i}]");
         names::check(
@@ -206,10 +213,10 @@
 }
 
 fn check_limits(limits: &Limits, faults: &mut Faults) {
-    faults.range("limits.body_bytes", limits.body_bytes.0, BODY_BYTES);
-    faults.range(
+    faults.check_range("limits.body_bytes", limits.body_bytes.0, BODY_BYTES_RANGE);
+    faults.check_range(
         "limits.answer_tokens",
         limits.answer_tokens.0,
-        ANSWER_TOKENS,
+        ANSWER_TOKENS_RANGE,
     );
 }
--- a/crates/config/src/check/routes.rs
+++ b/crates/config/src/check/routes.rs
@@ -1,28 +1,28 @@
-//! The check of plain services: where they are routed, and which calls may not be repeated.
+//! The check of plain services: their routes, and their calls that may not be repeated.
 
-use crate::check::{Faults, MAX_OTHERS, Unique, names};
+use crate::check::{Duplicates, Faults, MAX_LIST_ENTRIES, names};
 use crate::fleet::{NoRepeat, Service};
 use bluebell_base::prelude::*;
 
-/// The longest routed prefix, in bytes.
-const PREFIX_BYTES: usize = 128;
+/// Maximum length of a routed prefix, in bytes.
+const MAX_PREFIX_BYTES: usize = 128;
 
-/// How many patterns of calls that may not be repeated a service may have.
+/// Maximum number of patterns of calls that may not be repeated, for each service.
 const MAX_PATTERNS: usize = 100;
 
-/// The longest span a call may take: an hour.
+/// Maximum duration of a call: one hour.
 const MAX_TIMEOUT_MS: SpanMs = SpanMs::from_secs(60 * 60);
 
-/// The paths that the interface keeps for itself.
-const RESERVED: &[&str] = &["/v1", "/healthz", "/readyz", "/admin", "/metrics"];
+/// Paths reserved for the node's own interface.
+const RESERVED_PATHS: &[&str] = &["/v1", "/healthz", "/readyz", "/admin", "/metrics"];
 
-/// The methods a pattern can name.
+/// HTTP methods that a pattern may have.
 const METHODS: &[&str] = &["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"];
 
 /// Checks all plain services.
 pub(super) fn check(services: &[Service], faults: &mut Faults) {
-    faults.count("services", services.len(), MAX_OTHERS);
-    let mut seen = Unique::default();
+    faults.check_count("services", services.len(), MAX_LIST_ENTRIES);
+    let mut seen = Duplicates::default();
     for (i, service) in services.iter().enumerate() {
         let path = format!("services[{i}]");
         names::check(
@@ -35,7 +35,7 @@
         );
         check_prefix(&path, &services[..=i], faults);
         let timeout_ms = service.timeout_ms.0;
-        faults.range(
+        faults.check_range(
             format!("{path}.timeout_ms"),
             timeout_ms,
             1..=MAX_TIMEOUT_MS.0,
@@ -44,7 +44,7 @@
     }
 }
 
-/// Checks the prefix of the last of `services` against itself and all before it.
+/// Checks the prefix of the last of `services`, by itself and against all before it.
 fn check_prefix(path: &str, services: &[Service], faults: &mut Faults) {
     let Some((service, earlier)) = services.split_last() else {
         return;
@@ -54,7 +54,7 @@
         faults.add(path, reason);
         return;
     }
-    if let Some(reserved) = RESERVED.iter().find(|r| overlap(r, &service.prefix)) {
+    if let Some(reserved) = RESERVED_PATHS.iter().find(|r| overlap(r, &service.prefix)) {
         faults.add(
             path,
             format!("overlaps {reserved}, which the interface keeps"),
@@ -73,31 +73,32 @@
     let Some(segments) = prefix.strip_prefix('/') else {
         return Some("must begin with /".into());
     };
-    if prefix.len() > PREFIX_BYTES {
-        return Some(format!("is longer than {PREFIX_BYTES} bytes"));
+    if prefix.len() > MAX_PREFIX_BYTES {
+        return Some(format!("is longer than {MAX_PREFIX_BYTES} bytes"));
     }
-    let bad = segments.split('/').find(|segment| !is_segment(segment));
-    bad.map(|segment| format!("has the segment {segment:?}; must be letters, digits and -_.~"))
+    let bad_segment = segments.split('/').find(|segment| !is_segment(segment));
+    bad_segment
+        .map(|segment| format!("has the segment {segment:?}; must be letters, digits and -_.~"))
 }
 
 fn is_segment(segment: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || "-_.~".contains(c);
-    let dots = segment == "." || segment == "..";
-    !segment.is_empty() && !dots && segment.chars().all(allowed)
+    let is_dots = segment == "." || segment == "..";
+    !segment.is_empty() && !is_dots && segment.chars().all(allowed)
 }
 
-/// Whether one path is the other or lies below it.
+/// Returns true if one of the paths is equal to the other or lies below it.
 fn overlap(a: &str, b: &str) -> bool {
-    let below = |inner: &str, outer: &str| {
+    let is_within = |inner: &str, outer: &str| {
         let rest = inner.strip_prefix(outer);
         rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
     };
-    below(a, b) || below(b, a)
+    is_within(a, b) || is_within(b, a)
 }
 
 fn check_patterns(path: &str, patterns: &[NoRepeat], faults: &mut Faults) {
     let list = format!("{path}.no_repeat");
-    faults.count(&list, patterns.len(), MAX_PATTERNS);
+    faults.check_count(&list, patterns.len(), MAX_PATTERNS);
     for (i, pattern) in patterns.iter().enumerate() {
         let path = format!("{list}[{i}]");
         if !METHODS.contains(&&*pattern.method) {
--- a/crates/config/src/fleet/mod.rs
+++ b/crates/config/src/fleet/mod.rs
@@ -1,7 +1,7 @@
-//! The configuration's data, as written in its JSON file.
+//! The types of the configuration, as written in its JSON file.
 //!
-//! Invariants: fields that this version does not know are refused in a file given by an operator;
-//! ids ([`ClassId`], [`AccountId`]) are positions in these lists and valid for one version only.
+//! Invariants: unknown fields are refused in a file given by an operator; ids ([`ClassId`],
+//! [`AccountId`]) are positions in these lists and valid for one version only.
 
 use bluebell_base::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -14,15 +14,15 @@
     pub classes: Vec<Class>,
     /// Client accounts.
     pub accounts: Vec<Account>,
-    /// Models and the version that shall be served.
+    /// Models, with the version that engines must serve.
     pub models: Vec<Model>,
-    /// Plain services routed to.
+    /// Plain services to which calls are routed.
     #[serde(default)]
     pub services: Vec<Service>,
-    /// What is known of kinds of upstreams.
+    /// Properties of deployments.
     #[serde(default)]
     pub deployments: Vec<Deployment>,
-    /// Limits on callers.
+    /// Limits on callers' requests.
     #[serde(default)]
     pub limits: Limits,
 }
@@ -31,13 +31,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     pub name: ClassName,
-    /// How soon answers begin, by prompt length; ascending, the last without a limit.
+    /// First-token targets by prompt length, in ascending order. The last one has no length limit.
     pub first_token: Vec<FirstTokenTarget>,
-    /// How soon answers end; also the deadline of a request that names none.
+    /// Time within which answers must end. It is also the deadline of a request that sets none.
     pub end_ms: SpanMs,
-    /// Whether its work may be run again after it may have run.
+    /// True if work of this class may be run again after it may have run.
     pub idempotent: bool,
 }
 
@@ -45,10 +45,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FirstTokenTarget {
-    /// The longest prompt it is for; none: any length.
+    /// Longest prompt to which the target applies, or `None` for any length.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub up_to_tokens: Option<Tokens>,
-    /// The target, counted from the request's arrival.
+    /// Maximum time from the request's arrival to the first token.
     pub within_ms: SpanMs,
 }
 
@@ -56,9 +56,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Account {
-    /// Its name.
+    /// Name of the account.
     pub name: AccountName,
-    /// SHA-256 of the caller's key, in lower-case hex; the key itself is nowhere kept.
+    /// SHA-256 of the caller's key in lower-case hex. The key itself is not stored anywhere.
     pub key_sha256: Arc<str>,
 }
 
@@ -66,9 +66,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// Its name.
+    /// Name of the model.
     pub name: ModelName,
-    /// The version of weights or adapter that engines shall serve.
+    /// Version of the weights or adapter that engines must serve.
     pub version: u64,
 }
 
@@ -76,13 +76,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Its name, which is also its deployment's.
+    /// Name of the service and of its deployment.
     pub name: ServiceName,
-    /// The routed path's prefix, such as `/services/board`.
+    /// Path prefix that is routed to the service, such as `/services/board`.
     pub prefix: Arc<str>,
-    /// How long a call may take.
+    /// Maximum duration of a call.
     pub timeout_ms: SpanMs,
-    /// Calls that may not be repeated; all others may.
+    /// Calls that may not be repeated. All other calls may be.
     #[serde(default)]
     pub no_repeat: Vec<NoRepeat>,
 }
@@ -91,30 +91,30 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NoRepeat {
-    /// The HTTP method.
+    /// HTTP method of the calls.
     pub method: Arc<str>,
-    /// The beginning of the path behind the service's prefix.
+    /// Start of the path after the service's prefix.
     pub path: Arc<str>,
 }
 
-/// What the operators say of a kind of upstream.
+/// Properties of a kind of upstream, given by the operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Deployment {
-    /// Its name in the platform's list.
+    /// Name of the deployment in the platform's list.
     pub name: DeploymentName,
-    /// Whether its upstreams refuse orders with an old fencing number; not said means they don't.
+    /// True if its upstreams refuse orders with an old fencing number. False if omitted.
     #[serde(default)]
     pub checks_fencing: bool,
 }
 
-/// Limits on callers.
+/// Limits on callers' requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// The largest request body.
+    /// Maximum size of a request body.
     pub body_bytes: Bytes,
-    /// The most tokens an answer may have.
+    /// Maximum number of tokens in an answer.
     pub answer_tokens: Tokens,
 }
 
@@ -128,19 +128,19 @@
 }
 
 impl FleetConfig {
-    /// The class of that name.
+    /// Returns the class with the given name.
     pub fn class(&self, name: &ClassName) -> Option<(ClassId, &Class)> {
         let index = self.classes.iter().position(|class| class.name == *name)?;
         Some((ClassId(index as u32), &self.classes[index]))
     }
 
-    /// The account of that name.
+    /// Returns the account with the given name.
     pub fn account(&self, name: &AccountName) -> Option<(AccountId, &Account)> {
         let index = self.accounts.iter().position(|a| a.name == *name)?;
         Some((AccountId(index as u32), &self.accounts[index]))
     }
 
-    /// Whether upstreams of a deployment refuse orders with an old fencing number.
+    /// Returns true if the upstreams of a deployment refuse orders with an old fencing number.
     pub fn checks_fencing(&self, name: &DeploymentName) -> bool {
         let found = self.deployments.iter().find(|d| d.name == *name);
         found.is_some_and(|deployment| deployment.checks_fencing)
@@ -148,7 +148,7 @@
 }
 
 impl Class {
-    /// The first-token target for a prompt of that length.
+    /// Returns the first-token target for a prompt of the given length.
     pub fn first_token_ms(&self, prompt_tokens: Tokens) -> SpanMs {
         let fits = |target: &&FirstTokenTarget| {
             target
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,11 +1,11 @@
-//! The operators' configuration: classes of work with targets, client accounts, models, plain
-//! services, and the check that names every fault with its path.
+//! The operators' configuration: classes of work with targets, client accounts, models and plain
+//! services, and the check that reports every fault with its path.
 //!
-//! Terms: a *target* says by when answers of a class begin and end; a *deployment* is a kind of
-//! upstream, of which the operators say only whether it checks fencing numbers.
+//! Terms: a *target* is the time by which answers of a class begin or end; a *deployment* is a kind
+//! of upstream, of which the configuration says only whether it checks fencing numbers.
 //!
 //! Invariants: a configuration in force has passed [`check::check`] of the program that published
-//! it, which may have been an older one; it holds no weights and no names of engines or VMs.
+//! it, which may have been an older version; it contains no weights and no names of engines or VMs.
 
 pub mod check;
 pub mod fleet;
--- a/crates/config/tests/check.rs
+++ b/crates/config/tests/check.rs
@@ -1,4 +1,4 @@
-//! The check of configuration files: the example passes, and bad files give their faults.
+//! The check of configuration files: the examples pass, and faulty files give their faults.
 
 use bluebell_config::{Fault, parse};
 use expect_test::expect;
@@ -7,17 +7,17 @@
 
 const EXAMPLE: &str = include_str!("../../../examples/fleet.json");
 
-/// The example with the value at a JSON pointer replaced; a missing field is added.
-fn changed(pointer: &str, value: Value) -> String {
+/// Returns the example with the value at a JSON pointer replaced. A missing field is added.
+fn example_with(pointer: &str, value: Value) -> String {
     let mut file: Value = serde_json::from_str(EXAMPLE).expect("the example is JSON");
     let (parent, field) = pointer.rsplit_once('/').expect("a pointer has a slash");
-    let parent = file.pointer_mut(parent).expect("the parent is there");
+    let parent = file.pointer_mut(parent).expect("the parent exists");
     match parent {
         Value::Object(fields) => {
             fields.insert(field.to_owned(), value);
         }
         Value::Array(list) => list[field.parse::<usize>().expect("an index")] = value,
-        _ => panic!("{pointer} leads into neither a list nor an object"),
+        _ => panic!("the parent of {pointer} is neither a list nor an object"),
     }
     file.to_string()
 }
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn bad_files_give_their_faults() {
+fn faulty_files_report_their_faults() {
     let empty_key = "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855";
     let other_key =
         serde_json::from_str::<Value>(EXAMPLE).expect("JSON")["accounts"][1]["key_sha256"].clone();
@@ -93,7 +93,7 @@
             let value_text: String = value.to_string().chars().take(30).collect();
             format!(
                 "{pointer} = {value_text}\n    {}",
-                faults(&changed(pointer, value))
+                faults(&example_with(pointer, value))
             )
         })
         .collect();
@@ -191,7 +191,7 @@
         |name: &str, prefix: &str| json!({"name": name, "prefix": prefix, "timeout_ms": 1});
     let pair = |a: &str, b: &str| {
         let list = json!([service("a", a), service("b", b)]);
-        faults(&changed("/services", list))
+        faults(&example_with("/services", list))
     };
     assert_eq!(pair("/services/a", "/services/ab"), "none\n");
     expect![[r#"
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn texts_of_another_shape_give_the_first_fault() {
+fn malformed_texts_report_the_first_fault() {
     let cases = [
         "",
         "[]",
@@ -234,18 +234,21 @@
 
 #[test]
 fn an_oversized_text_is_refused_before_it_is_parsed() {
-    let text = " ".repeat(bluebell_config::check::CONFIG_BYTES + 1);
-    let found = parse(&text).expect_err("it is too large");
+    let text = " ".repeat(bluebell_config::check::MAX_CONFIG_BYTES + 1);
+    let found = parse(&text).expect_err("the text is too large");
     assert_eq!(found.len(), 1);
     assert_eq!(&*found[0].path, ".");
 }
 
 #[test]
-fn a_fleet_of_the_largest_size_is_checked() {
+fn a_large_fleet_passes_the_check() {
     let accounts: Vec<Value> = (0..2200)
         .map(|i| json!({"name": format!("account-{i}"), "key_sha256": format!("{i:064x}")}))
         .collect();
-    assert_eq!(faults(&changed("/accounts", json!(accounts))), "none\n");
+    assert_eq!(
+        faults(&example_with("/accounts", json!(accounts))),
+        "none\n"
+    );
 }
 
 proptest! {
@@ -267,15 +270,15 @@
     }
 
     #[test]
-    fn a_passed_configuration_survives_writing_and_reading(end_ms in 1500u64..86_400_000) {
-        let config = parse(&changed("/classes/0/end_ms", json!(end_ms)));
-        let config = config.expect("it passes");
-        let text = serde_json::to_string(&config).expect("it can be written");
+    fn a_valid_configuration_round_trips(end_ms in 1500u64..86_400_000) {
+        let config = parse(&example_with("/classes/0/end_ms", json!(end_ms)));
+        let config = config.expect("the configuration is valid");
+        let text = serde_json::to_string(&config).expect("the configuration can be written");
         prop_assert_eq!(parse(&text), Ok::<_, Vec<Fault>>(config));
     }
 }
 
-/// Adds the name of every field below `value`.
+/// Appends the name of every field below `value`.
 fn collect_fields(value: &Value, fields: &mut Vec<String>) {
     match value {
         Value::Object(map) => {
@@ -296,6 +299,6 @@
     for field in fields {
         let documented =
             page.contains(&format!("`{field}`")) || page.contains(&format!(".{field}`"));
-        assert!(documented, "docs/CONFIG.md says nothing of {field}");
+        assert!(documented, "docs/CONFIG.md does not describe {field}");
     }
 }
