--- a/crates/bench/examples/policy.rs
+++ b/crates/bench/examples/policy.rs
@@ -4,7 +4,7 @@
 //!
 //! Parts: `loads`, `nodes`, `lags`, `faults`, `accounts`, `cost`; none given means all. Names: `json`
 //! and `svg` (files to write), `repeats`, `secs` (of arrivals a run), `seed`, `policy`, `loads`
-//! (shares of capacity, with commas); and of the production policy `short_work_share`, `kv_headroom_share`,
+//! (shares of capacity, with commas); and of the production policy `short_share`, `room_share`,
 //! `choices`, `deferrable` and `slack` (in milliseconds).
 
 use bluebell_base::prelude::*;
