--- a/crates/requests/examples/cost.rs
+++ b/crates/requests/examples/cost.rs
@@ -132,13 +132,13 @@
     let requests = Requests::spawn(&mut stakker, RequestsSettings::default(), ports);
     requests.set_config(ConfigVersion(1), config);
     let engine = Rc::new(Engine::default());
-    let card = EngineDescription {
+    let description = EngineDescription {
         name: "engine".into(),
         domain: "domain".into(),
         models: vec!["m".into()],
         kv_capacity_tokens: Tokens(u64::from(u32::MAX)),
     };
-    requests.engine_live(card, engine.clone());
+    requests.engine_live(description, engine.clone());
     stakker.run(origin, false);
 
     let prompt: Arc<str> = "a prompt of a thousand tokens or so ".repeat(112).into();
--- a/crates/requests/src/actor/arrivals.rs
+++ b/crates/requests/src/actor/arrivals.rs
@@ -1,11 +1,11 @@
-//! Calls as they arrive: checked against the configuration and made into lives.
+//! Incoming calls: validates them against the configuration and turns them into live requests.
 
 use super::Requests;
 use crate::budget::PayerId;
 use crate::call::{CallerCall, CallerEvent, CallerId, CallerSink, Completion, ServiceRequest};
-use crate::life::fatal::quarantined;
-use crate::life::{Answer, Exchange, Life, LinkNo, Phase, Reader, Recalls, Work};
 use crate::observe::RefusedBy;
+use crate::request::fatal::quarantine_refusal;
+use crate::request::{Answer, Exchange, LinkNo, LiveRequest, Phase, Reader, Recalls, Work};
 use bluebell_base::prelude::*;
 use bluebell_config::{FleetConfig, NoRepeat, Service};
 use bluebell_peers::{ClaimCall, ClaimKey};
@@ -16,14 +16,14 @@
 use sha2::{Digest, Sha256};
 use stakker::CX;
 
-/// A call that was refused before it became a request, and why.
+/// A call that was refused before it became a request, with the reason and the error.
 struct Refused {
     by: RefusedBy,
     error: Error,
 }
 
 impl Requests {
-    /// A caller calls.
+    /// Dispatches a call from the callers' interface.
     pub(super) fn call(&mut self, cx: CX![], call: CallerCall) {
         match call {
             CallerCall::Complete {
@@ -45,7 +45,7 @@
                 request,
                 reply,
             } => self.cancel(cx, account, request, reply),
-            CallerCall::Disconnected { caller } => self.gone(cx, caller),
+            CallerCall::Disconnected { caller } => self.on_disconnected(cx, caller),
         }
     }
 
@@ -57,12 +57,12 @@
         sink: Box<dyn CallerSink>,
     ) {
         let now_ms = self.timers.now_ms(cx);
-        match self.completion_life(completion, now_ms) {
-            Ok(mut life) => {
-                life.reader = attached(caller, sink);
-                self.take_in(cx, life);
+        match self.completion_request(completion, now_ms) {
+            Ok(mut live) => {
+                live.reader = attached(caller, sink);
+                self.add_request(cx, live);
             }
-            Err(refused) => self.turn_away(sink.as_ref(), refused),
+            Err(refused) => self.refuse_call(sink.as_ref(), refused),
         }
     }
 
@@ -74,23 +74,23 @@
         sink: Box<dyn CallerSink>,
     ) {
         let now_ms = self.timers.now_ms(cx);
-        match self.service_life(call, now_ms) {
-            Ok(mut life) => {
-                life.reader = attached(caller, sink);
-                self.take_in(cx, life);
+        match self.service_request(call, now_ms) {
+            Ok(mut live) => {
+                live.reader = attached(caller, sink);
+                self.add_request(cx, live);
             }
-            Err(refused) => self.turn_away(sink.as_ref(), refused),
+            Err(refused) => self.refuse_call(sink.as_ref(), refused),
         }
     }
 
-    fn take_in(&mut self, cx: CX![], life: Life) {
-        let request = life.request;
-        let id = self.table.insert(life);
-        self.step(cx, id, request, |life, context| life.begin(context));
-        self.settle_down(cx);
+    fn add_request(&mut self, cx: CX![], live: LiveRequest) {
+        let request = live.request;
+        let id = self.table.insert(live);
+        self.step(cx, id, request, |live, context| live.begin(context));
+        self.finish_message(cx);
     }
 
-    fn turn_away(&mut self, sink: &dyn CallerSink, refused: Refused) {
+    fn refuse_call(&mut self, sink: &dyn CallerSink, refused: Refused) {
         self.observer.refused(refused.by);
         sink.send(CallerEvent::Failed {
             request: None,
@@ -98,13 +98,14 @@
         });
     }
 
-    /// The configuration, where the node takes a new request with a prompt or body of `bytes`.
-    fn open_config(&self, bytes: usize) -> Result<Arc<FleetConfig>, Refused> {
+    /// Returns the configuration if the node accepts a new request with a prompt or body of
+    /// `bytes`.
+    fn config_for_new_request(&self, bytes: usize) -> Result<Arc<FleetConfig>, Refused> {
         if self.draining.is_some() {
             return Err(self.unavailable(RefusedBy::Draining, "the node is stopping"));
         }
-        // Requests pile up here while the claims or all engines are slow; without a bound their
-        // prompts would take the node's memory, and all its requests with it.
+        // Requests accumulate here while the claims or all engines are slow. Without a limit their
+        // prompts would exhaust the node's memory and all its requests would be lost.
         let held_bytes = self.table.held_bytes() + Bytes(bytes as u64);
         let full = self.table.len() >= self.settings.live_count;
         if full || held_bytes > self.settings.live_bytes {
@@ -120,8 +121,12 @@
         Refused { by, error }
     }
 
-    fn completion_life(&mut self, call: Completion, now_ms: MonoMs) -> Result<Life, Refused> {
-        let config = self.open_config(call.prompt.len())?;
+    fn completion_request(
+        &mut self,
+        call: Completion,
+        now_ms: MonoMs,
+    ) -> Result<LiveRequest, Refused> {
+        let config = self.config_for_new_request(call.prompt.len())?;
         let digest = completion_digest(&call);
         self.check_quarantine(&digest, now_ms)?;
         let prompt_bytes = Bytes(call.prompt.len() as u64);
@@ -146,24 +151,24 @@
         };
         let work = Work::Answer(Box::new(answer));
         let payer = PayerId(self.payers.intern(&call.account));
-        let mut life = new_life(request, call.account, payer, work, now_ms);
-        life.deadline_ms = deadline_ms;
-        life.repeatable = repeatable;
-        life.claim = claim;
-        life.digest = Some(digest);
-        Ok(life)
+        let mut live = new_request(request, call.account, payer, work, now_ms);
+        live.deadline_ms = deadline_ms;
+        live.repeatable = repeatable;
+        live.claim = claim;
+        live.digest = Some(digest);
+        Ok(live)
     }
 
-    /// Refuses what each engine that ran it didn't survive.
+    /// Refuses a call whose content is quarantined because every engine that ran it crashed.
     fn check_quarantine(&mut self, digest: &RequestDigest, now_ms: MonoMs) -> Result<(), Refused> {
         let by = RefusedBy::Quarantined;
-        match quarantined(&mut self.quarantine, digest, now_ms) {
+        match quarantine_refusal(&mut self.quarantine, digest, now_ms) {
             Some(error) => Err(Refused { by, error }),
             None => Ok(()),
         }
     }
 
-    /// What the policy is told of a call.
+    /// Builds the job that the policy receives for a call.
     fn job(
         &mut self,
         config: &FleetConfig,
@@ -197,8 +202,12 @@
         })
     }
 
-    fn service_life(&mut self, call: ServiceRequest, now_ms: MonoMs) -> Result<Life, Refused> {
-        let config = self.open_config(call.body.len())?;
+    fn service_request(
+        &mut self,
+        call: ServiceRequest,
+        now_ms: MonoMs,
+    ) -> Result<LiveRequest, Refused> {
+        let config = self.config_for_new_request(call.body.len())?;
         let service = config.services.iter().find(|s| s.name == call.service);
         let service =
             service.ok_or_else(|| unknown(format!("no service is named {}", call.service)))?;
@@ -224,11 +233,11 @@
             avoid: Vec::new(),
         };
         let work = Work::Exchange(Box::new(exchange));
-        let mut life = new_life(request, call.account, payer, work, now_ms);
-        life.deadline_ms = now_ms + service.timeout_ms;
-        life.repeatable = repeatable;
-        life.claim = claim;
-        Ok(life)
+        let mut live = new_request(request, call.account, payer, work, now_ms);
+        live.deadline_ms = now_ms + service.timeout_ms;
+        live.repeatable = repeatable;
+        live.claim = claim;
+        Ok(live)
     }
 
     fn next_request(&mut self) -> RequestId {
@@ -240,7 +249,7 @@
     }
 }
 
-/// The prompt's beginnings, hashed as the engines do for their prefix caches.
+/// Returns the hashes of the prompt's prefixes, computed as the engines do for their prefix caches.
 fn prefixes(prompt: &str) -> Vec<Prefix> {
     let hashes = prompt::prefix_hashes(prompt, prompt::DEFAULT_BLOCK_TOKENS).into_iter();
     let prefixes = hashes.map(|PrefixHash { hash, tokens }| Prefix { hash, tokens });
@@ -269,15 +278,16 @@
     }
 }
 
-/// A life that has not begun; its reader, deadline and claim are set by the caller.
-pub(super) fn new_life(
+/// Creates a request that has not started; the caller of this function sets its reader, deadline
+/// and claim.
+pub(super) fn new_request(
     request: RequestId,
     account: AccountName,
     payer: PayerId,
     work: Work,
     now_ms: MonoMs,
-) -> Life {
-    Life {
+) -> LiveRequest {
+    LiveRequest {
         request,
         account,
         payer,
@@ -290,35 +300,37 @@
         phase: Phase::Backoff { until_ms: now_ms },
         reader: Reader::Detached { until_ms: now_ms },
         attempt: AttemptNo(0),
-        earlier: Verdict::NotRun,
-        present: Verdict::NotRun,
+        earlier_verdict: Verdict::NotRun,
+        current_verdict: Verdict::NotRun,
         link: LinkNo(0),
         work,
-        sent_to: None,
-        cancels: Vec::new(),
+        last_upstream: None,
+        cancel_replies: Vec::new(),
         requeues: 0,
         recalls: Recalls::default(),
         ended: None,
-        alarm: None,
+        timer: None,
     }
 }
 
-/// Whether a call may be repeated by the service's configuration.
+/// Returns true if the service's configuration allows a call to be repeated.
 ///
-/// A path that is not in its plain form (`//`, `/./`, `/../`, percent-encoding) might reach a call
-/// that may not be repeated without looking like it: it counts as one where the method fits any.
+/// A path that is not in normal form (`//`, `/./`, `/../`, percent-encoding) may reach a call that
+/// must not be repeated without matching its pattern. It counts as a match of every pattern with
+/// the same method.
 fn may_repeat(service: &Service, method: &str, path: &str) -> bool {
     let plain = path.split(['?', '#']).next().unwrap_or_default();
-    let odd = ["//", "/./", "/../", "%", "\\"];
-    let odd = odd.iter().any(|part| plain.contains(part)) || plain.ends_with("/..");
+    let is_abnormal = ["//", "/./", "/../", "%", "\\"];
+    let is_abnormal = is_abnormal.iter().any(|part| plain.contains(part)) || plain.ends_with("/..");
     let matches = |pattern: &NoRepeat| {
         let same_method = pattern.method.eq_ignore_ascii_case(method);
-        same_method && (odd || plain.starts_with(&*pattern.path))
+        same_method && (is_abnormal || plain.starts_with(&*pattern.path))
     };
     !service.no_repeat.iter().any(matches)
 }
 
-/// Hashes parts so that no two different lists of parts give the same bytes.
+/// Hashes parts with their lengths, so that no two different lists of parts are hashed as the same
+/// bytes.
 fn digest(parts: &[&[u8]]) -> [u8; 32] {
     let mut hash = Sha256::new();
     for part in parts {
@@ -342,8 +354,9 @@
     u64::from_be_bytes(first)
 }
 
-/// Stands for all calls that ask the same model for the same. The most tokens and the deadline don't
-/// count: callers change them when they try again.
+/// Returns the digest of a call's content, equal for all calls that send the same prompt to the
+/// same model. The token limit and the deadline are left out, because callers change them when they
+/// retry.
 fn completion_digest(call: &Completion) -> RequestDigest {
     RequestDigest::of(&RequestParts {
         account: call.account.as_str(),
--- a/crates/requests/src/actor/effects.rs
+++ b/crates/requests/src/actor/effects.rs
@@ -1,8 +1,9 @@
-//! Carrying out what the passes left: calls to the ports, with the way back to the life.
+//! Carries out the effects of a transition: calls the ports and passes their answers to the live
+//! request.
 
 use super::Requests;
-use crate::chores::ChoreKind;
-use crate::life::{Effect, LinkNo};
+use crate::cleanup::CleanupKind;
+use crate::request::{Effect, LinkNo};
 use crate::table::EntryId;
 use bluebell_base::prelude::*;
 use bluebell_peers::{ClaimAnswer, ClaimCall, ClaimKey, RequestReport, SettleCall, Settlement};
@@ -11,21 +12,27 @@
 };
 use stakker::{CX, fwd_to, ret_to};
 
-/// An answer that a port gave, or `None` where it dropped the call.
+/// A port's answer, or `None` if the port dropped the call.
 pub(super) type Answer<T> = Option<Result<T, Error>>;
 
-/// What an answer of a plain service belongs to.
-struct Exchanged {
+/// The call that a plain service's answer belongs to.
+struct PendingExchange {
     request: RequestId,
     upstream: UpstreamId,
     link: LinkNo,
-    /// The claim that the call runs under.
+    /// The key of the claim that the call runs under.
     key: Option<ClaimKey>,
 }
 
 impl Requests {
-    /// Sends one effect of a request.
-    pub(super) fn carry_out(&mut self, cx: CX![], id: EntryId, request: RequestId, effect: Effect) {
+    /// Carries out one effect of a request.
+    pub(super) fn run_effect(
+        &mut self,
+        cx: CX![],
+        id: EntryId,
+        request: RequestId,
+        effect: Effect,
+    ) {
         match effect {
             Effect::Claim(call) => self.claim(cx, id, call),
             Effect::Settle(call) => self.claims.settle(cx, call),
@@ -40,28 +47,30 @@
                 call,
             } => self.resume(cx, (id, request), upstream, link, call),
             Effect::Lookup { upstream, link } => self.look_up(cx, (id, request), upstream, link),
-            Effect::AskPeer { link } => self.ask_admitting_node(cx, (id, request), link),
+            Effect::QueryAdmittingNode { link } => {
+                self.query_admitting_node(cx, (id, request), link)
+            }
             Effect::Cancel {
                 upstream,
                 attempt,
-                tell,
+                awaited,
                 settle,
             } => {
                 let adopting = request.incarnation != self.incarnation;
-                let kind = ChoreKind::Cancel {
+                let kind = CleanupKind::Cancel {
                     attempt,
-                    tell: tell.then_some(id),
+                    awaited_by: awaited.then_some(id),
                     settle,
                     adopting,
                 };
-                self.start_chore(cx, request, upstream, kind);
+                self.start_cleanup(cx, request, upstream, kind);
             }
             Effect::Release {
                 upstream,
                 reservation,
             } => {
-                let kind = ChoreKind::Release { reservation };
-                self.start_chore(cx, request, upstream, kind);
+                let kind = CleanupKind::Release { reservation };
+                self.start_cleanup(cx, request, upstream, kind);
             }
             Effect::Reserve { upstream, call } => self.reserve(cx, id, request, upstream, call),
             Effect::Exchange {
@@ -124,7 +133,12 @@
         }
     }
 
-    fn ask_admitting_node(&mut self, cx: CX![], (id, request): (EntryId, RequestId), link: LinkNo) {
+    fn query_admitting_node(
+        &mut self,
+        cx: CX![],
+        (id, request): (EntryId, RequestId),
+        link: LinkNo,
+    ) {
         let ret = ret_to!(
             [cx],
             on_peer_report(id, request, link) as (Result<Option<RequestReport>, Error>)
@@ -140,8 +154,8 @@
         link: LinkNo,
         call: ServiceCall,
     ) {
-        let life = self.table.get(id);
-        let key = life.and_then(|life| life.claim.as_ref().map(|claim| claim.key));
+        let live = self.table.get(id);
+        let key = live.and_then(|live| live.claim.as_ref().map(|claim| claim.key));
         let Some(replica) = self.fleet.replica_mut(upstream) else {
             return;
         };
@@ -151,7 +165,7 @@
             [cx],
             on_exchanged(
                 id,
-                Exchanged {
+                PendingExchange {
                     request,
                     upstream,
                     link,
@@ -183,13 +197,14 @@
 
     fn on_claim(&mut self, cx: CX![], id: EntryId, call: ClaimCall, answer: Answer<ClaimAnswer>) {
         let granted = matches!(answer, Some(Ok(ClaimAnswer::Granted)));
-        let found = self.step(cx, id, call.request, |life, context| {
-            life.on_claim(answer, context);
+        let found = self.step(cx, id, call.request, |live, context| {
+            live.on_claim(answer, context);
         });
         if !found && granted {
-            // The request ended while its claim was under way (deadline, cancel, hang-up), with
-            // the verdict "not run": it never will run, so the late grant is given back, or the
-            // caller's retry would hear "may have run" of a request that never did.
+            // The request ended with the verdict "not run" (deadline, cancel, hang-up) while its
+            // claim was under way. It will never run, so the late grant is settled as such.
+            // Otherwise the caller's retry would receive "may have run" for a request that never
+            // did.
             let settle = SettleCall {
                 key: call.key,
                 request: call.request,
@@ -197,17 +212,17 @@
             };
             self.claims.settle(cx, settle);
         }
-        self.settle_down(cx);
+        self.finish_message(cx);
     }
 
     fn on_event(&mut self, cx: CX![], id: EntryId, request: RequestId, link: LinkNo, event: Event) {
-        let found = self.step(cx, id, request, |life, context| {
-            life.on_event(link, event, context);
+        let found = self.step(cx, id, request, |live, context| {
+            live.on_event(link, event, context);
         });
         if !found {
             self.observer.dropped_event();
         }
-        self.settle_down(cx);
+        self.finish_message(cx);
     }
 
     fn on_lookup(
@@ -218,10 +233,10 @@
         link: LinkNo,
         answer: Answer<StreamState>,
     ) {
-        self.step(cx, id, request, |life, context| {
-            life.on_lookup(link, answer, context);
+        self.step(cx, id, request, |live, context| {
+            live.on_lookup(link, answer, context);
         });
-        self.settle_down(cx);
+        self.finish_message(cx);
     }
 
     fn on_reserved(
@@ -234,22 +249,23 @@
         answer: Answer<()>,
     ) {
         let granted = matches!(answer, Some(Ok(())));
-        let found = self.step(cx, id, request, |life, context| {
-            life.on_reserved(reservation, upstream, granted, context);
+        let found = self.step(cx, id, request, |live, context| {
+            live.on_reserved(reservation, upstream, granted, context);
         });
         if !found && granted {
-            // As in `Life::on_reserved`: the request is over, its release may have overtaken this.
-            let kind = ChoreKind::Release { reservation };
-            self.start_chore(cx, request, upstream, kind);
+            // As in `LiveRequest::on_reserved`: the request has ended, and its release may have
+            // overtaken this grant.
+            let kind = CleanupKind::Release { reservation };
+            self.start_cleanup(cx, request, upstream, kind);
         }
-        self.settle_down(cx);
+        self.finish_message(cx);
     }
 
     fn on_exchanged(
         &mut self,
         cx: CX![],
         id: EntryId,
-        call: Exchanged,
+        call: PendingExchange,
         answer: Answer<ServiceAnswer>,
     ) {
         if let Some(replica) = self.fleet.replica_mut(call.upstream) {
@@ -260,12 +276,12 @@
             Some(Err(error)) if error.verdict == Verdict::NotRun => Some(Settlement::NotRun),
             Some(Err(_)) | None => None,
         };
-        let found = self.step(cx, id, call.request, |life, context| {
-            life.on_exchanged(call.link, answer, context);
+        let found = self.step(cx, id, call.request, |live, context| {
+            live.on_exchanged(call.link, answer, context);
         });
         if let (false, Some(key), Some(settlement)) = (found, call.key, settlement) {
-            // The request ended in doubt before the replica answered (deadline, cancel): its
-            // caller's retries hear the truth from now on.
+            // The request ended with an unknown verdict before the replica answered (deadline,
+            // cancel). From now on the caller's retries receive the actual verdict.
             let request = call.request;
             let settle = SettleCall {
                 key,
@@ -274,6 +290,6 @@
             };
             self.claims.settle(cx, settle);
         }
-        self.settle_down(cx);
+        self.finish_message(cx);
     }
 }
--- a/crates/requests/src/actor/handle.rs
+++ b/crates/requests/src/actor/handle.rs
@@ -1,8 +1,8 @@
-//! The handle by which the rest of the node speaks to the requests.
+//! The handle through which the rest of the node uses the requests.
 
 use super::{EngineDescription, Requests};
 use crate::call::CallerCall;
-use crate::fleet::Standing;
+use crate::fleet::Availability;
 use bluebell_base::prelude::*;
 use bluebell_config::FleetConfig;
 use bluebell_peers::RequestReport;
@@ -10,7 +10,8 @@
 use stakker::{ActorOwn, Ret, call};
 use std::rc::Rc;
 
-/// The running requests of a node; cheap to clone on its thread. They stop with the last handle.
+/// A handle to the running requests of a node; cheap to clone within its thread. The requests stop
+/// when the last handle is dropped.
 #[derive(Clone)]
 pub struct RequestsHandle {
     own: Rc<ActorOwn<Requests>>,
@@ -21,42 +22,42 @@
         Self { own: Rc::new(own) }
     }
 
-    /// A caller calls.
+    /// Sends a call from the callers' interface.
     pub fn call(&self, call: CallerCall) {
         call!([self.own], call(call));
     }
 
-    /// A configuration came into force; an older version than the present one is ignored.
+    /// Sets the configuration; a version older than the current one is ignored.
     pub fn set_config(&self, version: ConfigVersion, config: Arc<FleetConfig>) {
         call!([self.own], set_config(version, config));
     }
 
-    /// An engine takes work, for the first time or again.
-    pub fn engine_live(&self, card: EngineDescription, port: Rc<dyn EnginePort>) {
-        call!([self.own], engine_live(card, port));
+    /// Announces an engine that accepts work, for the first time or again.
+    pub fn engine_live(&self, description: EngineDescription, port: Rc<dyn EnginePort>) {
+        call!([self.own], engine_live(description, port));
     }
 
-    /// An engine takes no new work; what it has goes on.
+    /// Marks an engine as accepting no new work; its running work continues.
     pub fn engine_leaving(&self, name: UpstreamName) {
         call!([self.own], engine_leaving(name));
     }
 
-    /// An engine is gone, or said to be.
+    /// Marks an engine as gone, or reported as gone.
     pub fn engine_gone(&self, name: UpstreamName) {
         call!([self.own], engine_gone(name));
     }
 
-    /// An engine's load was polled.
+    /// Passes on an engine's load from a poll.
     pub fn engine_load(&self, name: UpstreamName, report: LoadReport) {
         call!([self.own], engine_load(name, report));
     }
 
-    /// An engine's cache events were polled.
+    /// Passes on an engine's cache events from a poll.
     pub fn engine_cache(&self, name: UpstreamName, events: CacheEvents) {
         call!([self.own], engine_cache(name, events));
     }
 
-    /// A replica of a plain service takes work, for the first time or again.
+    /// Announces a replica of a plain service that accepts work, for the first time or again.
     pub fn service_live(
         &self,
         service: ServiceName,
@@ -66,27 +67,35 @@
         call!([self.own], service_live(service, name, port));
     }
 
-    /// A replica takes no new calls; those on the way go on.
+    /// Marks a replica as accepting no new calls; its running calls continue.
     pub fn service_leaving(&self, name: UpstreamName) {
-        call!([self.own], service_standing(name, Standing::Leaving));
+        call!(
+            [self.own],
+            set_replica_availability(name, Availability::Leaving)
+        );
     }
 
-    /// A replica is gone, or said to be.
+    /// Marks a replica as gone, or reported as gone.
     pub fn service_gone(&self, name: UpstreamName) {
-        call!([self.own], service_standing(name, Standing::Gone));
+        call!(
+            [self.own],
+            set_replica_availability(name, Availability::Gone)
+        );
     }
 
-    /// Takes no new calls; `ret` is called once nothing is under way any more. Nothing is cut.
+    /// Refuses new calls from now on and calls `ret` once nothing is under way. Running requests
+    /// are not cut off.
     pub fn drain(&self, ret: Ret<()>) {
         call!([self.own], drain(ret));
     }
 
-    /// A peer asks what is known here of a request that this node admitted.
+    /// Returns, for a peer, the report of a request that this node admitted; `None` if it is not
+    /// known.
     pub fn lookup(&self, request: RequestId, ret: Ret<Option<RequestReport>>) {
         call!([self.own], answer_peer(request, ret));
     }
 
-    /// The state as JSON text, without prompts, answers and secrets.
+    /// Returns the state as JSON text, without prompts, answers and secrets.
     pub fn dump(&self, ret: Ret<Arc<str>>) {
         call!([self.own], dump(ret));
     }
@@ -96,8 +105,7 @@
         call!([self.own], check(ret));
     }
 
-    /// Checks the invariants after each step from now on, and panics where one is broken; for
-    /// tests.
+    /// Checks the invariants after each step from now on, and panics if one is broken; for tests.
     pub fn check_each_step(&self) {
         call!([self.own], check_each_step());
     }
--- a/crates/requests/src/actor/inspect.rs
+++ b/crates/requests/src/actor/inspect.rs
@@ -1,13 +1,13 @@
-//! Looking in from outside: peers' lookups, the state dump and the verifier.
+//! Access to the state from outside: peers' lookups, the state dump and the verifier.
 
 use super::Requests;
 use crate::budget::Budgets;
-use crate::chores::Chores;
-use crate::finished::Ring;
+use crate::cleanup::CleanupTasks;
+use crate::finished::FinishedRequests;
 use crate::fleet::Fleet;
 use crate::table::Table;
-use crate::verify::{self, Broken};
-use crate::waits::Waits;
+use crate::verify::{self, BrokenInvariant};
+use crate::waiting_callers::WaitingCallers;
 use bluebell_base::prelude::*;
 use bluebell_peers::RequestReport;
 use bluebell_policy::Policy;
@@ -23,24 +23,24 @@
         ret.ret(self.known_report(request));
     }
 
-    /// What is known here of a request, live or ended.
+    /// Returns the report of a request that is live or recently ended here.
     pub(super) fn known_report(&self, request: RequestId) -> Option<RequestReport> {
         let live = self.table.find(request).and_then(|id| self.table.get(id));
         match live {
-            Some(life) => Some(life.report(&self.fleet)),
-            None => self.ring.get(request).map(|f| f.report.clone()),
+            Some(live) => Some(live.report(&self.fleet)),
+            None => self.finished.get(request).map(|f| f.report.clone()),
         }
     }
 
     pub(super) fn dump(&mut self, cx: CX![], ret: Ret<Arc<str>>) {
         let now_ms = self.timers.now_ms(cx);
-        self.ring.trim(&self.settings, now_ms);
+        self.finished.trim(&self.settings, now_ms);
         let dump = self.to_dump(now_ms);
         let text = serde_json::to_string_pretty(&dump).unwrap_or_else(|error| error.to_string());
         ret.ret(text.into());
     }
 
-    pub(super) fn check(&mut self, cx: CX![], ret: Ret<Result<(), Broken>>) {
+    pub(super) fn check(&mut self, cx: CX![], ret: Ret<Result<(), BrokenInvariant>>) {
         let now_ms = self.timers.now_ms(cx);
         ret.ret(self.verify(now_ms));
     }
@@ -50,10 +50,10 @@
     }
 
     /// Checks the invariants.
-    pub(super) fn verify(&self, now_ms: MonoMs) -> Result<(), Broken> {
-        verify::table(&self.table, self.incarnation, now_ms)?;
-        if !self.ring.is_consistent() {
-            return Err("the ring of ended requests counts wrongly".into());
+    pub(super) fn verify(&self, now_ms: MonoMs) -> Result<(), BrokenInvariant> {
+        verify::check_table(&self.table, self.incarnation, now_ms)?;
+        if !self.finished.is_consistent() {
+            return Err("the counts of the ended requests kept are inconsistent".into());
         }
         if let Some(violation) = self.policy.verify().first() {
             return Err(format!("the policy: {violation:?}").into());
@@ -65,16 +65,16 @@
         &self.table
     }
 
-    pub(crate) fn chores(&self) -> &Chores {
-        &self.chores
+    pub(crate) fn cleanups(&self) -> &CleanupTasks {
+        &self.cleanups
     }
 
-    pub(crate) fn ring(&self) -> &Ring {
-        &self.ring
+    pub(crate) fn finished(&self) -> &FinishedRequests {
+        &self.finished
     }
 
-    pub(crate) fn waits(&self) -> &Waits {
-        &self.waits
+    pub(crate) fn waiting_callers(&self) -> &WaitingCallers {
+        &self.waiting_callers
     }
 
     pub(crate) fn budgets(&self) -> &Budgets {
--- a/crates/requests/src/actor/mod.rs
+++ b/crates/requests/src/actor/mod.rs
@@ -1,11 +1,11 @@
-//! The actor that owns a node's requests: a thin shell that finds the life a message is for, runs
-//! one pass over it and sends what the pass left as effects.
+//! The actor that owns a node's requests. It finds the live request that a message is for, runs one
+//! transition on it and carries out the transition's effects.
 //!
-//! Invariants: after each message every live request has a timer set for its next due instant, and
-//! the policy's due decisions are carried out.
+//! Invariants: after each message every live request has a timer for its next due time, and the
+//! policy's due decisions are carried out.
 
 mod arrivals;
-mod chores;
+mod cleanup;
 mod effects;
 mod foreign;
 mod handle;
@@ -18,18 +18,18 @@
 
 use crate::budget::Budgets;
 use crate::call::CallerId;
-use crate::chores::Chores;
+use crate::cleanup::CleanupTasks;
 use crate::cursor::Signer;
-use crate::finished::{Finished, Ring};
+use crate::finished::{Finished, FinishedRequests};
 use crate::fleet::Fleet;
 use crate::lengths::Lengths;
-use crate::life::{Alarm, Context, Effect, Life, Work};
 use crate::lookup::RequestLookup;
 use crate::names::Names;
 use crate::observe::RequestObserver;
+use crate::request::{Context, Effect, LiveRequest, RequestTimer, Work};
 use crate::settings::RequestsSettings;
 use crate::table::{EntryId, Table};
-use crate::waits::Waits;
+use crate::waiting_callers::WaitingCallers;
 use bluebell_base::prelude::*;
 use bluebell_claims::ClaimsPort;
 use bluebell_config::FleetConfig;
@@ -41,27 +41,27 @@
 use stakker::{CX, Core, Ret, actor, call, fwd_to, ret_nop};
 use std::rc::Rc;
 
-/// Rounds of decisions after one message; a policy that still has decisions due is asked again at
-/// once, but other messages come first.
+/// The limit of decision rounds after one message. A policy with more decisions due is called again
+/// right after the messages already queued.
 const DECISION_ROUNDS: usize = 8;
 
-/// What the requests need from the rest of the node.
+/// The services and parameters that the requests get from the rest of the node.
 pub struct RequestsPorts {
-    /// The time.
+    /// The timers and the clock.
     pub timers: Timers,
     /// This run of the process.
     pub incarnation: Incarnation,
     /// The fleet's shared secret, which signs cursors.
     pub fleet_secret: Vec<u8>,
-    /// Claims of idempotency keys.
+    /// The claims of idempotency keys.
     pub claims: Rc<dyn ClaimsPort>,
     /// The policy.
     pub policy: Box<dyn Policy>,
     /// The metrics.
     pub observer: Box<dyn RequestObserver>,
-    /// The way to other nodes' requests.
+    /// The queries to other nodes about their requests.
     pub lookup: Rc<dyn RequestLookup>,
-    /// Seeds jitter and reservation ids.
+    /// The seed for jitter and reservation ids.
     pub seed: u64,
 }
 
@@ -83,9 +83,9 @@
     domains: Names<DomainName>,
     fleet: Fleet,
     table: Table,
-    chores: Chores,
-    ring: Ring,
-    waits: Waits,
+    cleanups: CleanupTasks,
+    finished: FinishedRequests,
+    waiting_callers: WaitingCallers,
     budgets: Budgets,
     quarantine: Quarantine,
     lengths: Lengths,
@@ -127,9 +127,9 @@
             domains: Names::default(),
             fleet: Fleet::default(),
             table: Table::default(),
-            chores: Chores::default(),
-            ring: Ring::default(),
-            waits: Waits::default(),
+            cleanups: CleanupTasks::default(),
+            finished: FinishedRequests::default(),
+            waiting_callers: WaitingCallers::default(),
             quarantine: Quarantine::default(),
             lengths: Lengths::default(),
             next_sequence: 0,
@@ -141,7 +141,7 @@
         })
     }
 
-    /// A configuration came into force.
+    /// Puts a configuration into force.
     fn set_config(&mut self, cx: CX![], version: ConfigVersion, config: Arc<FleetConfig>) {
         if version < self.config_version {
             return;
@@ -150,28 +150,28 @@
         self.policy.set_config(&config, now_ms);
         self.table
             .iter_mut()
-            .for_each(|life| life.renumber(&config));
+            .for_each(|live| live.update_config_ids(&config));
         self.config_version = version;
         self.config = Some(config);
-        self.settle_down(cx);
+        self.finish_message(cx);
     }
 
-    /// Runs `pass` on a live request and carries out what it left; `false` where the slot holds
-    /// another request (or none) by now.
+    /// Runs a transition on a live request and carries out its effects. Returns `false` if the slot
+    /// now holds another request or none.
     fn step(
         &mut self,
         cx: CX![],
         id: EntryId,
         request: RequestId,
-        pass: impl FnOnce(&mut Life, &mut Context<'_>),
+        transition: impl FnOnce(&mut LiveRequest, &mut Context<'_>),
     ) -> bool {
         let now_ms = self.timers.now_ms(cx);
         let mut effects = std::mem::take(&mut self.effects);
-        let Some(life) = self.table.get_mut(id, request) else {
+        let Some(live) = self.table.get_mut(id, request) else {
             self.effects = effects;
             return false;
         };
-        let (reader, bytes) = (life.reader_id(), life.held_bytes());
+        let (reader, bytes) = (live.reader_id(), live.held_bytes());
         let mut context = Context {
             now_ms,
             owner: self.incarnation,
@@ -186,66 +186,66 @@
             rng: &mut self.rng,
             out: &mut effects,
         };
-        pass(life, &mut context);
+        transition(live, &mut context);
         self.table.reindex(id, reader, bytes);
         for effect in effects.drain(..) {
-            self.carry_out(cx, id, request, effect);
+            self.run_effect(cx, id, request, effect);
         }
         self.effects = effects;
         self.after_step(cx, id, request);
         true
     }
 
-    /// Sets the request's timer anew, or takes it out where it has ended.
+    /// Sets the request's timer to its next due time, or removes the request if it has ended.
     fn after_step(&mut self, cx: CX![], id: EntryId, request: RequestId) {
-        let Some(life) = self.table.get_mut(id, request) else {
+        let Some(live) = self.table.get_mut(id, request) else {
             return;
         };
-        if life.is_done() {
+        if live.is_done() {
             self.retire(cx, id);
             return;
         }
-        let due_ms = life.next_due_ms();
-        // A timer that fires too early finds nothing due and is set again, so that each token
-        // needn't move it.
-        if life.alarm.is_some_and(|alarm| alarm.at_ms <= due_ms) {
+        let due_ms = live.next_due_ms();
+        // A timer that fires too early finds nothing due and is set again, so a token need not move
+        // it.
+        if live.timer.is_some_and(|timer| timer.at_ms <= due_ms) {
             return;
         }
-        if let Some(alarm) = life.alarm.take() {
-            self.timers.cancel(cx, alarm.subscription);
+        if let Some(timer) = live.timer.take() {
+            self.timers.cancel(cx, timer.subscription);
         }
-        let fwd = fwd_to!([cx], on_alarm(id, request) as (MonoMs));
+        let fwd = fwd_to!([cx], on_timer(id, request) as (MonoMs));
         let subscription = self.timers.subscribe_at(cx, due_ms, fwd);
-        life.alarm = Some(Alarm {
+        live.timer = Some(RequestTimer {
             at_ms: due_ms,
             subscription,
         });
     }
 
-    fn on_alarm(&mut self, cx: CX![], id: EntryId, request: RequestId, _: MonoMs) {
-        self.step(cx, id, request, |life, context| {
-            life.alarm = None;
-            life.on_due(context);
+    fn on_timer(&mut self, cx: CX![], id: EntryId, request: RequestId, _: MonoMs) {
+        self.step(cx, id, request, |live, context| {
+            live.timer = None;
+            live.on_due(context);
         });
-        self.settle_down(cx);
+        self.finish_message(cx);
     }
 
-    /// Takes an ended request out of the table and keeps what its caller may still ask for.
+    /// Removes an ended request from the table and keeps what its caller may still read.
     fn retire(&mut self, cx: CX![], id: EntryId) {
-        let Some(mut life) = self.table.remove(id) else {
+        let Some(mut live) = self.table.remove(id) else {
             return;
         };
-        if let Some(alarm) = life.alarm.take() {
-            self.timers.cancel(cx, alarm.subscription);
+        if let Some(timer) = live.timer.take() {
+            self.timers.cancel(cx, timer.subscription);
         }
-        let report = life.report(&self.fleet);
-        for reply in life.cancels.drain(..) {
+        let report = live.report(&self.fleet);
+        for reply in live.cancel_replies.drain(..) {
             reply(Ok(report.clone()));
         }
-        let Some(ended) = life.ended.take() else {
+        let Some(ended) = live.ended.take() else {
             return;
         };
-        let (base, tokens) = match life.work {
+        let (base, tokens) = match live.work {
             Work::Answer(answer) => (answer.base, answer.tokens),
             Work::Exchange(_) => (0, Vec::new()),
         };
@@ -256,11 +256,12 @@
             tokens,
             last: ended.last,
         };
-        self.ring.push(finished, &self.settings);
+        self.finished.push(finished, &self.settings);
     }
 
-    /// Ends each message: carries out due decisions, sets the policy's timer, ends a drain.
-    fn settle_down(&mut self, cx: CX![]) {
+    /// Completes each message: carries out due decisions, sets the policy's timer and completes a
+    /// drain.
+    fn finish_message(&mut self, cx: CX![]) {
         self.decide(cx);
         self.set_policy_wake(cx);
         self.end_drain();
@@ -286,7 +287,7 @@
                 return;
             }
         }
-        call!([cx], settle_down());
+        call!([cx], finish_message());
     }
 
     fn on_decision(&mut self, cx: CX![], decision: Decision) {
@@ -297,24 +298,25 @@
             | Decision::Refuse { request, .. } => *request,
         };
         let Some(id) = self.table.find(request) else {
-            // It ended without the policy having heard: tell it, so that it frees what it counts.
+            // The request ended without the policy's knowledge; the policy must free the resources
+            // that it counts for it.
             let now_ms = self.timers.now_ms(cx);
             let outcome = bluebell_policy::Outcome::NotRun;
             self.policy.on_end(request, outcome, now_ms);
             return;
         };
-        self.step(cx, id, request, |life, context| match decision {
+        self.step(cx, id, request, |live, context| match decision {
             Decision::Send {
                 upstream, priority, ..
-            } => life.on_send(upstream, priority, context),
+            } => live.on_send(upstream, priority, context),
             Decision::Group {
                 leader,
                 members,
                 priority,
                 ..
-            } => life.on_group(leader, &members, priority, context),
-            Decision::Recall { .. } => life.on_recall(context),
-            Decision::Refuse { refusal, .. } => life.on_refuse(refusal, context),
+            } => live.on_group(leader, &members, priority, context),
+            Decision::Recall { .. } => live.on_recall(context),
+            Decision::Refuse { refusal, .. } => live.on_refuse(refusal, context),
         });
     }
 
@@ -334,17 +336,17 @@
 
     fn on_policy_wake(&mut self, cx: CX![], _: MonoMs) {
         self.policy_wake = None;
-        self.settle_down(cx);
+        self.finish_message(cx);
     }
 
-    /// Takes no new calls; `ret` is called once the last request and chore have ended.
+    /// Refuses new calls; `ret` is called once the last request and cleanup task have ended.
     fn drain(&mut self, cx: CX![], ret: Ret<()>) {
         self.draining.get_or_insert_default().push(ret);
-        self.settle_down(cx);
+        self.finish_message(cx);
     }
 
     fn end_drain(&mut self) {
-        if !self.table.is_empty() || !self.chores.is_empty() || !self.waits.is_empty() {
+        if !self.table.is_empty() || !self.cleanups.is_empty() || !self.waiting_callers.is_empty() {
             return;
         }
         if let Some(waiting) = &mut self.draining {
@@ -354,13 +356,13 @@
         }
     }
 
-    fn gone(&mut self, cx: CX![], caller: CallerId) {
+    fn on_disconnected(&mut self, cx: CX![], caller: CallerId) {
         if let Some(id) = self.table.find_caller(caller)
-            && let Some(request) = self.table.get(id).map(|life| life.request)
+            && let Some(request) = self.table.get(id).map(|live| live.request)
         {
-            self.step(cx, id, request, |life, context| life.detach(context));
+            self.step(cx, id, request, |live, context| live.detach(context));
         }
-        self.waits.forget(caller);
-        self.settle_down(cx);
+        self.waiting_callers.forget(caller);
+        self.finish_message(cx);
     }
 }
--- a/crates/requests/src/actor/readers.rs
+++ b/crates/requests/src/actor/readers.rs
@@ -1,22 +1,23 @@
-//! Callers that come back: reading on, reports and cancels, of this node's requests.
+//! Calls about existing requests of this node: callers that resume reading, reports and cancels.
 //!
-//! Invariants: another account's request is answered exactly as one that does not exist; an error
-//! about a request that exists somewhere is never `NotRun`.
+//! Invariants: a request of another account gets the same answer as one that does not exist. An
+//! error about a request that exists somewhere is never `NotRun`.
 
 use super::Requests;
 use crate::call::{CallerEvent, CallerId, CallerSink, ResumeAnswer};
 use crate::cursor::Cursor;
 use crate::finished::Finished;
-use crate::life::CancelReply;
-use crate::life::read::token_events;
+use crate::request::CancelReply;
+use crate::request::read::token_events;
 use crate::table::EntryId;
-use crate::waits::Wish;
+use crate::waiting_callers::WaitPurpose;
 use bluebell_base::prelude::*;
 use stakker::CX;
 
-/// The error for a request that isn't there, isn't known any more or isn't the asker's.
+/// Returns the error for a request that does not exist, is no longer known or belongs to another
+/// account.
 pub(super) fn not_found() -> Error {
-    // It may have existed and run, so this must not say "not run".
+    // It may have existed and run, so the verdict must not be "not run".
     Error::may_have_run(ErrorKind::NotFound, "no such request")
 }
 
@@ -29,7 +30,7 @@
         sink: Box<dyn CallerSink>,
     ) {
         let cursor = match &call.cursor {
-            Some(text) => match self.believed(text, &call) {
+            Some(text) => match self.verified_cursor(text, &call) {
                 Some(cursor) => Some(cursor),
                 None => return refuse(sink.as_ref(), call.request, not_found()),
             },
@@ -38,22 +39,22 @@
         let from = cursor.as_ref().map_or(0, |cursor| cursor.seq.0 + 1);
         if let Some(id) = self.table.find(call.request) {
             self.attach(cx, id, caller, &call, sink, from);
-        } else if let Some(finished) = self.ring.get(call.request) {
+        } else if let Some(finished) = self.finished.get(call.request) {
             self.replay(finished, &call, sink.as_ref(), from);
         } else if call.request.incarnation == self.incarnation {
             refuse(sink.as_ref(), call.request, not_found());
         } else {
-            let wish = Wish::ResumeAnswer { caller, sink, from };
+            let purpose = WaitPurpose::ResumeAnswer { caller, sink, from };
             match cursor {
-                Some(cursor) => self.adopt_by_cursor(cx, &cursor, wish),
-                None => self.ask_peer(cx, call.account, call.request, wish),
+                Some(cursor) => self.adopt_by_cursor(cx, &cursor, purpose),
+                None => self.query_peer(cx, call.account, call.request, purpose),
             }
         }
-        self.settle_down(cx);
+        self.finish_message(cx);
     }
 
-    /// The cursor, where it is one of the fleet's for this request and account.
-    fn believed(&self, text: &str, call: &ResumeAnswer) -> Option<Cursor> {
+    /// Returns the cursor if the fleet signed it for this request and account.
+    fn verified_cursor(&self, text: &str, call: &ResumeAnswer) -> Option<Cursor> {
         let cursor = self.signer.verify(text)?;
         let fits = cursor.request == call.request && cursor.account == call.account;
         fits.then_some(cursor)
@@ -68,18 +69,18 @@
         sink: Box<dyn CallerSink>,
         from: u64,
     ) {
-        let life = self.table.get(id);
-        let readable = life.is_some_and(|l| l.account == call.account && l.answer().is_some());
+        let live = self.table.get(id);
+        let readable = live.is_some_and(|l| l.account == call.account && l.answer().is_some());
         if !readable {
             refuse(sink.as_ref(), call.request, not_found());
             return;
         }
-        self.step(cx, id, call.request, |life, context| {
-            life.attach(caller, sink, from, context);
+        self.step(cx, id, call.request, |live, context| {
+            live.attach(caller, sink, from, context);
         });
     }
 
-    /// Gives a caller an ended answer from event `from` on.
+    /// Sends a caller an ended answer from event `from` on.
     fn replay(&self, finished: &Finished, call: &ResumeAnswer, sink: &dyn CallerSink, from: u64) {
         let request = call.request;
         let last = finished.last.event(request);
@@ -116,7 +117,7 @@
             Some(report) if report.account == account => reply(Ok(report)),
             Some(_) => reply(Err(not_found())),
             None if request.incarnation == self.incarnation => reply(Err(not_found())),
-            None => self.ask_peer(cx, account, request, Wish::Report(reply)),
+            None => self.query_peer(cx, account, request, WaitPurpose::Report(reply)),
         }
     }
 
@@ -128,26 +129,26 @@
         reply: CancelReply,
     ) {
         if let Some(id) = self.table.find(request) {
-            let life = self.table.get(id);
-            if life.is_none_or(|life| life.account != account) {
+            let live = self.table.get(id);
+            if live.is_none_or(|live| live.account != account) {
                 return reply(Err(not_found()));
             }
-            self.step(cx, id, request, |life, context| life.cancel(reply, context));
-            self.settle_down(cx);
+            self.step(cx, id, request, |live, context| live.cancel(reply, context));
+            self.finish_message(cx);
             return;
         }
-        match self.ring.get(request) {
+        match self.finished.get(request) {
             Some(finished) if finished.report.account == account => {
                 reply(Ok(finished.report.clone()));
             }
             Some(_) => reply(Err(not_found())),
             None if request.incarnation == self.incarnation => reply(Err(not_found())),
-            None => self.ask_peer(cx, account, request, Wish::Cancel(reply)),
+            None => self.query_peer(cx, account, request, WaitPurpose::Cancel(reply)),
         }
     }
 }
 
-/// Tells a caller that it can't read on.
+/// Sends a caller the error with which its call to resume reading fails.
 pub(super) fn refuse(sink: &dyn CallerSink, request: RequestId, error: Error) {
     sink.send(CallerEvent::Failed {
         request: Some(request),
--- a/crates/requests/src/budget/mod.rs
+++ b/crates/requests/src/budget/mod.rs
@@ -1,22 +1,22 @@
-//! The retry budget: retries are a small share of the requests admitted, by account and by node,
-//! so that a failing fleet isn't brought down by its own retries.
+//! The retry budget: limits retries, by account and by node, to a small share of the admitted
+//! requests, so that a failing fleet is not overloaded by retries.
 
 use crate::settings::RequestsSettings;
 use std::collections::HashMap;
 
 bluebell_base::define_id! {
-    /// A client account as the budget counts it; the same for the life of the process, where the
+    /// A client account's id in the retry budget; stable for the lifetime of the process, while the
     /// configuration's own ids change with its version.
     PayerId(u32) = "payer";
 }
 
-/// A token bucket that requests fill and retries empty.
+/// A token bucket: admitted requests fill it and retries empty it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Bucket {
     saved: f64,
 }
 
-/// The budgets of one node.
+/// The retry budgets of one node and its accounts.
 #[derive(Clone, Debug)]
 pub struct Budgets {
     share: f64,
@@ -27,7 +27,7 @@
 }
 
 impl Budgets {
-    /// Full buckets by the settings.
+    /// Creates full buckets with the sizes of the settings.
     pub fn new(settings: &RequestsSettings) -> Self {
         Self {
             share: settings.retry_share,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// A request was admitted: its account and the node earn a share of a retry.
+    /// Credits the account and the node with a share of a retry for an admitted request.
     pub fn earn(&mut self, account: PayerId) {
         let (share, burst) = (self.share, self.account_burst);
         let bucket = self.account(account);
@@ -48,7 +48,7 @@
         self.node.saved = (self.node.saved + self.share).min(self.node_burst);
     }
 
-    /// Takes one retry; `false` where the account or the node has none left.
+    /// Takes one retry; returns `false` if the account or the node has none left.
     pub fn take(&mut self, account: PayerId) -> bool {
         let node_has = self.node.saved >= 1.0;
         let bucket = self.account(account);
@@ -60,7 +60,7 @@
         true
     }
 
-    /// The node's retries left.
+    /// Returns the number of retries that the node has left.
     pub fn node_left(&self) -> f64 {
         self.node.saved
     }
--- a/crates/requests/src/call/mod.rs
+++ b/crates/requests/src/call/mod.rs
@@ -1,9 +1,9 @@
-//! What callers ask and what they are told, between the callers' interface and the requests.
+//! The calls and events exchanged between the callers' interface and the requests.
 //!
-//! Terms: a *cursor* is the opaque, signed text that a caller gives back to read on from an event;
-//! a *sink* takes a request's events to its caller.
+//! Terms: a *cursor* is the opaque, signed text with which a caller resumes reading after an event.
+//! A *sink* delivers a request's events to its caller.
 //!
-//! Invariants: a sink gets events in order and nothing after `Finished` or `Failed`.
+//! Invariants: a sink receives events in order, and nothing after `Finished` or `Failed`.
 
 use bluebell_base::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -11,17 +11,18 @@
 /// A call for a model's answer, already authenticated and decoded.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Completion {
-    /// Who asks.
+    /// The client account.
     pub account: AccountName,
     /// The model.
     pub model: ModelName,
     /// The class of work.
     pub class: ClassName,
-    /// The whole prompt; chat messages are joined to one text.
+    /// The whole prompt; chat messages are joined into one text.
     pub prompt: Arc<str>,
-    /// The most tokens to generate.
+    /// The limit of tokens to generate.
     pub max_tokens: Tokens,
-    /// The caller's own deadline, counted from arrival, where it is shorter than the class's.
+    /// The caller's own deadline, counted from arrival; it applies if it is shorter than the
+    /// class's.
     pub deadline_ms: Option<SpanMs>,
     /// The caller's idempotency key.
     pub idempotency_key: Option<IdempotencyKey>,
@@ -30,13 +31,13 @@
 /// A call to a plain service, already authenticated and routed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceRequest {
-    /// Who asks.
+    /// The client account.
     pub account: AccountName,
     /// The service.
     pub service: ServiceName,
     /// The HTTP method.
     pub method: Arc<str>,
-    /// Path and query behind the service's prefix.
+    /// The path and query after the service's prefix.
     pub path: Arc<str>,
     /// The body's media type.
     pub content_type: Option<Arc<str>>,
@@ -46,38 +47,38 @@
     pub idempotency_key: Option<IdempotencyKey>,
 }
 
-/// A call to read a request's answer on from an event.
+/// A call to resume reading a request's answer after an event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResumeAnswer {
-    /// Who asks.
+    /// The client account.
     pub account: AccountName,
     /// The request.
     pub request: RequestId,
-    /// The cursor of the last event seen; none: from the beginning.
+    /// The cursor of the last event received; `None` reads from the beginning.
     pub cursor: Option<Arc<str>>,
 }
 
-/// What a caller is told of its request.
+/// An event sent to a caller about its request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "snake_case")]
 pub enum CallerEvent {
-    /// The request has an identity.
+    /// The request was assigned an id.
     Admitted {
-        /// The identity.
+        /// The id.
         request: RequestId,
     },
-    /// One piece of the answer.
+    /// One token of the answer.
     Token {
         /// Its position.
         seq: EventSeq,
         /// Its text.
         text: Arc<str>,
-        /// Where to read on behind it.
+        /// The cursor that resumes reading after this token.
         cursor: Arc<str>,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     Finished {
-        /// Why it ended: `stop` or `length`.
+        /// The reason for the end: `stop` or `length`.
         reason: Arc<str>,
         /// The prompt's length.
         prompt_tokens: Tokens,
@@ -93,76 +94,76 @@
         /// The body.
         body: Vec<u8>,
     },
-    /// The request failed; final.
+    /// The request failed; no event follows.
     Failed {
-        /// Its identity, where it got one.
+        /// The request's id, if it was assigned one.
         request: Option<RequestId>,
-        /// Why, with the verdict.
+        /// The error, with the verdict.
         error: Error,
     },
 }
 
 impl CallerEvent {
-    /// Whether nothing follows.
+    /// Returns true if no event follows this one.
     pub fn is_last(&self) -> bool {
         !matches!(self, Self::Admitted { .. } | Self::Token { .. })
     }
 }
 
-/// Takes a request's events to its caller; must not block.
+/// Delivers a request's events to its caller; must not block.
 pub trait CallerSink: Send {
-    /// Queues an event; `false` where the caller is known to be gone.
+    /// Queues an event; returns `false` if the caller is known to be gone.
     fn send(&self, event: CallerEvent) -> bool;
 }
 
 /// A call from the callers' interface.
 pub enum CallerCall {
-    /// A model's answer is wanted.
+    /// Requests a model's answer.
     Complete {
         /// The connection's number, for [`CallerCall::Disconnected`].
         caller: CallerId,
-        /// What is asked.
+        /// The call's content.
         completion: Completion,
-        /// Where its events go.
+        /// The receiver of its events.
         sink: Box<dyn CallerSink>,
     },
-    /// A plain service is called.
+    /// Calls a plain service.
     Service {
         /// The connection's number.
         caller: CallerId,
-        /// What is asked.
+        /// The call's content.
         call: ServiceRequest,
-        /// Where its answer goes.
+        /// The receiver of the answer.
         sink: Box<dyn CallerSink>,
     },
-    /// A broken stream is read on.
+    /// Resumes reading a broken stream.
     ResumeAnswer {
         /// The connection's number.
         caller: CallerId,
-        /// What is asked.
+        /// The request and the position.
         call: ResumeAnswer,
-        /// Where its events go.
+        /// The receiver of its events.
         sink: Box<dyn CallerSink>,
     },
-    /// The state of a request is asked.
+    /// Requests the state of a request.
     Report {
-        /// Who asks.
+        /// The client account.
         account: AccountName,
         /// The request.
         request: RequestId,
-        /// Takes the answer; `NotFound` for another account's request.
+        /// Receives the answer; `NotFound` for another account's request.
         reply: Box<dyn FnOnce(Result<bluebell_peers::RequestReport, Error>) + Send>,
     },
-    /// The caller asks to cancel its request.
+    /// Cancels a request.
     Cancel {
-        /// Who asks.
+        /// The client account.
         account: AccountName,
         /// The request.
         request: RequestId,
-        /// Takes the answer.
+        /// Receives the answer.
         reply: Box<dyn FnOnce(Result<bluebell_peers::RequestReport, Error>) + Send>,
     },
-    /// The connection broke: the caller hung up.
+    /// Reports that the caller's connection closed.
     Disconnected {
         /// The connection's number.
         caller: CallerId,
@@ -170,6 +171,6 @@
 }
 
 bluebell_base::define_id! {
-    /// A caller's connection at this node.
+    /// A caller's connection to this node.
     CallerId(u64) = "caller";
 }
--- a/crates/requests/src/cursor/mod.rs
+++ b/crates/requests/src/cursor/mod.rs
@@ -1,10 +1,11 @@
-//! Cursors: signed texts by which a caller reads an answer on, through any node of the fleet.
+//! Cursors: signed texts with which a caller resumes reading an answer through any node of the
+//! fleet.
 //!
-//! Terms: a cursor names the stream (request, attempt, engine), the last event seen and the
-//! account; the *signature* is a truncated HMAC-SHA256 under the fleet's shared secret.
+//! Terms: a cursor contains the stream (request, attempt, engine), the last event received and the
+//! account. The *signature* is a truncated HMAC-SHA256 under the fleet's shared secret.
 //!
-//! Invariants: a cursor is believed only where its signature fits, so a caller can neither read
-//! another account's stream nor make a node resume a stream that the fleet never handed out.
+//! Invariants: a cursor is accepted only if its signature is valid, so a caller can neither read
+//! another account's stream nor make a node resume a stream that the fleet never issued.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -13,28 +14,28 @@
 use serde::{Deserialize, Serialize};
 use sha2::Sha256;
 
-/// Bytes of the signature that are kept.
+/// The length of the truncated signature.
 const SIGNATURE_BYTES: usize = 16;
 
-/// The longest cursor text looked at.
-const CURSOR_CHARS: usize = 1024;
+/// The longest cursor text that is decoded, in bytes.
+const MAX_CURSOR_BYTES: usize = 1024;
 
-/// What a cursor says.
+/// The content of a cursor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cursor {
     /// The request.
     #[serde(rename = "r")]
     pub request: RequestId,
-    /// The attempt whose stream it is.
+    /// The attempt that the stream belongs to.
     #[serde(rename = "t")]
     pub attempt: AttemptNo,
     /// The engine that runs it.
     #[serde(rename = "u")]
     pub upstream: UpstreamName,
-    /// The last event seen.
+    /// The last event received.
     #[serde(rename = "e")]
     pub seq: EventSeq,
-    /// Whose it is.
+    /// The account that owns the request.
     #[serde(rename = "a")]
     pub account: AccountName,
 }
@@ -47,19 +48,19 @@
 
 impl std::fmt::Debug for Signer {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        // The key never goes into a log or dump.
+        // The key must not appear in a log or dump.
         f.write_str("Signer")
     }
 }
 
 impl Signer {
-    /// Makes a signer from the fleet's secret.
+    /// Creates a signer from the fleet's secret.
     pub fn new(secret: &[u8]) -> Self {
         let mac = Hmac::new_from_slice(secret).expect("HMAC takes keys of any length");
         Self { mac }
     }
 
-    /// The cursor as a caller gets it.
+    /// Returns the cursor as the text sent to a caller.
     pub fn sign(&self, cursor: &Cursor) -> Arc<str> {
         let body = serde_json::to_vec(cursor).expect("a cursor is plain data");
         let signature = self.signature(&body);
@@ -69,9 +70,9 @@
         text.into()
     }
 
-    /// The cursor that a caller gave back, where it is one of the fleet's.
+    /// Returns the cursor of a text if the fleet signed it.
     pub fn verify(&self, text: &str) -> Option<Cursor> {
-        if text.len() > CURSOR_CHARS {
+        if text.len() > MAX_CURSOR_BYTES {
             return None;
         }
         let (body, signature) = text.split_once('.')?;
@@ -82,7 +83,7 @@
         }
         let mut mac = self.mac.clone();
         mac.update(&body);
-        // Compares in constant time, so that a forger learns nothing from the time it takes.
+        // Compares in constant time, so that a forger learns nothing from the duration.
         mac.verify_truncated_left(&signature).ok()?;
         serde_json::from_slice(&body).ok()
     }
--- a/crates/requests/src/finished/mod.rs
+++ b/crates/requests/src/finished/mod.rs
@@ -1,32 +1,32 @@
-//! Ended requests, kept for a while so that their callers can ask for them and read on.
+//! Ended requests, kept for a limited time so that their callers can query them and resume reading.
 //!
-//! Invariants: count, bytes and age are bounded; the oldest goes first.
+//! Invariants: number, bytes and age are bounded; the oldest is dropped first.
 
-use crate::life::Last;
+use crate::request::FinalEvent;
 use crate::settings::RequestsSettings;
 use bluebell_base::prelude::*;
 use bluebell_peers::RequestReport;
 use std::collections::{HashMap, VecDeque};
 
-/// Bytes counted for a kept request apart from its texts.
+/// The bytes counted for a kept request, without its texts.
 const RECORD_BYTES: u64 = 512;
 
-/// Bytes counted for each text apart from its letters: the reference to it.
+/// The bytes counted for the reference to each text, in addition to the text itself.
 const TEXT_REF_BYTES: usize = 16;
 
 /// An ended request.
 #[derive(Clone, Debug)]
 pub struct Finished {
-    /// What is reported of it.
+    /// The final report.
     pub report: RequestReport,
-    /// When it ended.
+    /// The time of the end.
     pub at_ms: MonoMs,
     /// The position of the first of `tokens`.
     pub base: u64,
-    /// Its answer.
+    /// The token texts of its answer.
     pub tokens: Vec<Arc<str>>,
     /// Its last event.
-    pub last: Last,
+    pub last: FinalEvent,
 }
 
 impl Finished {
@@ -42,14 +42,14 @@
 
 /// The ended requests of one node.
 #[derive(Debug, Default)]
-pub struct Ring {
+pub struct FinishedRequests {
     order: VecDeque<RequestId>,
     records: HashMap<RequestId, Finished>,
     bytes: u64,
 }
 
-impl Ring {
-    /// Keeps a request that ended now and drops what is over the bounds.
+impl FinishedRequests {
+    /// Keeps a request that ended now and drops what exceeds the limits.
     pub fn push(&mut self, finished: Finished, settings: &RequestsSettings) {
         let (request, now_ms) = (finished.report.request, finished.at_ms);
         self.drop_record(request);
@@ -59,12 +59,12 @@
         self.trim(settings, now_ms);
     }
 
-    /// An ended request.
+    /// Returns an ended request.
     pub fn get(&self, request: RequestId) -> Option<&Finished> {
         self.records.get(&request)
     }
 
-    /// Drops what is over the bounds.
+    /// Drops what exceeds the limits.
     pub fn trim(&mut self, settings: &RequestsSettings, now_ms: MonoMs) {
         while let Some(oldest) = self.order.front().copied() {
             let at_ms = self.records.get(&oldest).map(|record| record.at_ms);
@@ -79,22 +79,22 @@
         }
     }
 
-    /// How many are kept.
+    /// Returns the number of requests kept.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether none is kept.
+    /// Returns true if no request is kept.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// The bytes counted for them.
+    /// Returns the bytes counted for them.
     pub fn bytes(&self) -> Bytes {
         Bytes(self.bytes)
     }
 
-    /// Whether the counted bytes are those of the records kept.
+    /// Returns true if the counted bytes equal those of the records kept.
     pub fn is_consistent(&self) -> bool {
         let counted: u64 = self.records.values().map(Finished::bytes).sum();
         let ordered = self.records.keys().all(|id| self.order.contains(id));
--- a/crates/requests/src/fleet/mod.rs
+++ b/crates/requests/src/fleet/mod.rs
@@ -1,21 +1,21 @@
-//! The upstreams as announced to this node: engines, and the replicas of plain services.
+//! The upstreams announced to this node: engines and the replicas of plain services.
 //!
-//! Terms: an upstream is *live*, *leaving* (finishes what it has) or *gone*; a name keeps its id
-//! through all of them and through a return.
+//! Terms: an upstream is *live*, *leaving* (it finishes its running work) or *gone*. A name keeps
+//! its id through all three states and when it returns.
 
 use crate::names::Names;
 use bluebell_base::prelude::*;
 use bluebell_upstreams::{EnginePort, ServicePort};
 use std::rc::Rc;
 
-/// Whether an upstream takes work.
+/// An upstream's availability for work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Standing {
-    /// It takes new work.
+pub enum Availability {
+    /// It accepts new work.
     Live,
-    /// It finishes what it has and takes nothing new.
+    /// It finishes its running work and accepts nothing new.
     Leaving,
-    /// It is gone with what it had.
+    /// It is gone, with all its work.
     Gone,
 }
 
@@ -23,10 +23,10 @@
 pub struct Engine {
     /// Its name.
     pub name: UpstreamName,
-    /// The way to it.
+    /// The port to it.
     pub port: Rc<dyn EnginePort>,
-    /// Whether it takes work.
-    pub standing: Standing,
+    /// Its availability for work.
+    pub availability: Availability,
 }
 
 /// One replica of a plain service.
@@ -35,11 +35,11 @@
     pub name: UpstreamName,
     /// The service.
     pub service: ServiceName,
-    /// The way to it.
+    /// The port to it.
     pub port: Rc<dyn ServicePort>,
-    /// Whether it takes work.
-    pub standing: Standing,
-    /// Calls on the way.
+    /// Its availability for work.
+    pub availability: Availability,
+    /// The number of calls in flight.
     pub in_flight: u32,
 }
 
@@ -52,19 +52,19 @@
 }
 
 impl Fleet {
-    /// An engine is live (again).
+    /// Adds an engine or marks it as live again.
     pub fn engine_live(&mut self, name: &UpstreamName, port: Rc<dyn EnginePort>) -> UpstreamId {
         let id = UpstreamId(self.names.intern(name));
         grow(&mut self.engines, id);
         self.engines[id.index()] = Some(Engine {
             name: name.clone(),
             port,
-            standing: Standing::Live,
+            availability: Availability::Live,
         });
         id
     }
 
-    /// A replica is live (again).
+    /// Adds a replica or marks it as live again.
     pub fn replica_live(
         &mut self,
         service: &ServiceName,
@@ -79,61 +79,62 @@
             name: name.clone(),
             service: service.clone(),
             port,
-            standing: Standing::Live,
+            availability: Availability::Live,
             in_flight,
         });
         id
     }
 
-    /// The upstream's id, where it was announced.
+    /// Returns the upstream's id; `None` if it was never announced.
     pub fn id(&self, name: &UpstreamName) -> Option<UpstreamId> {
         self.names.get(name).map(UpstreamId)
     }
 
-    /// The upstream's name.
+    /// Returns the upstream's name.
     pub fn name(&self, id: UpstreamId) -> Option<&UpstreamName> {
         self.names.name(id.0)
     }
 
-    /// Whether an engine takes new work.
-    pub fn takes_work(&self, id: UpstreamId) -> bool {
+    /// Returns true if an engine accepts new work.
+    pub fn accepts_work(&self, id: UpstreamId) -> bool {
         self.engine(id)
-            .is_some_and(|engine| engine.standing == Standing::Live)
+            .is_some_and(|engine| engine.availability == Availability::Live)
     }
 
-    /// Whether an engine is there, taking new work or not.
-    pub fn is_there(&self, id: UpstreamId) -> bool {
+    /// Returns true if an engine is live or leaving.
+    pub fn is_present(&self, id: UpstreamId) -> bool {
         self.engine(id)
-            .is_some_and(|engine| engine.standing != Standing::Gone)
+            .is_some_and(|engine| engine.availability != Availability::Gone)
     }
 
-    /// An engine that was announced, also when it is gone.
+    /// Returns an announced engine, even if it is gone.
     pub fn engine(&self, id: UpstreamId) -> Option<&Engine> {
         self.engines.get(id.index())?.as_ref()
     }
 
-    /// An engine that was announced, to change its standing.
+    /// Returns an announced engine for changes of its availability.
     pub fn engine_mut(&mut self, id: UpstreamId) -> Option<&mut Engine> {
         self.engines.get_mut(id.index())?.as_mut()
     }
 
-    /// A replica that was announced, also when it is gone.
+    /// Returns an announced replica, even if it is gone.
     pub fn replica(&self, id: UpstreamId) -> Option<&Replica> {
         self.replicas.get(id.index())?.as_ref()
     }
 
-    /// A replica that was announced, to change its standing or calls.
+    /// Returns an announced replica for changes of its availability or calls.
     pub fn replica_mut(&mut self, id: UpstreamId) -> Option<&mut Replica> {
         self.replicas.get_mut(id.index())?.as_mut()
     }
 
-    /// The live replica of a service with the fewest calls on the way, but for those to avoid.
+    /// Returns the live replica of a service with the fewest calls in flight that is not in
+    /// `avoid`.
     pub fn route(&self, service: &ServiceName, avoid: &[UpstreamId]) -> Option<UpstreamId> {
         let mut best: Option<(u32, UpstreamId)> = None;
         for (index, replica) in self.replicas.iter().enumerate() {
             let id = UpstreamId(index as u32);
             let Some(replica) = replica else { continue };
-            let fits = replica.standing == Standing::Live && replica.service == *service;
+            let fits = replica.availability == Availability::Live && replica.service == *service;
             if !fits || avoid.contains(&id) {
                 continue;
             }
@@ -144,13 +145,13 @@
         best.map(|(_, id)| id)
     }
 
-    /// All engines announced, with their ids.
+    /// Iterates over all announced engines with their ids.
     pub fn engines(&self) -> impl Iterator<Item = (UpstreamId, &Engine)> {
         let indexed = self.engines.iter().enumerate();
         indexed.filter_map(|(i, engine)| Some((UpstreamId(i as u32), engine.as_ref()?)))
     }
 
-    /// All replicas announced, with their ids.
+    /// Iterates over all announced replicas with their ids.
     pub fn replicas(&self) -> impl Iterator<Item = (UpstreamId, &Replica)> {
         let indexed = self.replicas.iter().enumerate();
         indexed.filter_map(|(i, replica)| Some((UpstreamId(i as u32), replica.as_ref()?)))
--- a/crates/requests/src/lib.rs
+++ b/crates/requests/src/lib.rs
@@ -1,29 +1,29 @@
-//! The life of a request: identity, at most one run, attempts, deadline, answer assembly, resume
+//! The requests of one node: identity, at most one run, attempts, deadline, answer assembly, resume
 //! and drain.
 //!
-//! Terms: a *life* is one request from admission to its last event; an *attempt* one try to run it
-//! on an upstream; a *chore* a cancel or release that outlives its request; a *cursor* the signed
-//! place in an answer from which a caller reads on.
+//! Terms: a *live request* is a request from admission to its last event. An *attempt* is one try
+//! to run it on an upstream. A *cleanup task* is a cancel or release that may outlast its request.
+//! A *cursor* is a signed position in an answer from which a caller resumes reading.
 //!
-//! Invariants: see [`life`]; [`verify`] re-checks them.
+//! Invariants: see [`request`]; [`verify`] re-checks them.
 
 pub mod actor;
 pub mod budget;
 pub mod call;
-pub mod chores;
+pub mod cleanup;
 pub mod cursor;
 pub mod finished;
 pub mod fleet;
 pub mod lengths;
-pub mod life;
 pub mod lookup;
 pub mod names;
 pub mod observe;
 pub mod print;
+pub mod request;
 pub mod settings;
 pub mod table;
 pub mod verify;
-pub mod waits;
+pub mod waiting_callers;
 
 pub use actor::{EngineDescription, Requests, RequestsHandle, RequestsPorts};
 pub use lookup::RequestLookup;
--- a/crates/requests/src/lookup/mod.rs
+++ b/crates/requests/src/lookup/mod.rs
@@ -1,12 +1,12 @@
-//! What other nodes know of the requests that they admitted.
+//! Queries to other nodes about the requests that they admitted.
 
 use bluebell_base::prelude::*;
 use bluebell_peers::RequestReport;
 use stakker::{Core, Ret};
 
-/// Asks the node of another incarnation for a request's report.
+/// Queries the node that admitted a request for its report.
 pub trait RequestLookup {
-    /// Looks `request` up; `None` where its node does not know it.
+    /// Looks up `request` on the node of its incarnation; `None` if that node does not know it.
     ///
     /// An error means that the node was not reached, which proves nothing about the request.
     fn lookup(
--- a/crates/requests/src/names/mod.rs
+++ b/crates/requests/src/names/mod.rs
@@ -1,13 +1,13 @@
-//! Small integers for names, stable for the life of the process.
+//! Small integer ids for names, stable for the lifetime of the process.
 //!
-//! The configuration's own positions change with each version, but the policy keeps what it
-//! learned by account, class and model across versions; so ids are given out here, in the order
-//! of first sight, and never given away again.
+//! The positions in the configuration change with each version, but the policy keeps what it
+//! learned by account, class and model across versions. So ids are assigned here in the order of
+//! first use and never reused.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// Gives each name an index, counted from 0.
+/// Assigns each name an index, counted from 0.
 #[derive(Clone, Debug)]
 pub struct Names<N> {
     by_name: HashMap<N, u32>,
@@ -24,7 +24,7 @@
 }
 
 impl<N: Clone + Eq + Hash> Names<N> {
-    /// The name's index, new where it is first seen.
+    /// Returns the name's index and assigns one on first use.
     pub fn intern(&mut self, name: &N) -> u32 {
         if let Some(&index) = self.by_name.get(name) {
             return index;
@@ -35,12 +35,12 @@
         index
     }
 
-    /// The name's index, where it was seen before.
+    /// Returns the name's index if one was assigned.
     pub fn get(&self, name: &N) -> Option<u32> {
         self.by_name.get(name).copied()
     }
 
-    /// The name of an index given out here.
+    /// Returns the name of an index.
     pub fn name(&self, index: u32) -> Option<&N> {
         self.names.get(index as usize)
     }
--- a/crates/requests/src/observe/mod.rs
+++ b/crates/requests/src/observe/mod.rs
@@ -1,23 +1,23 @@
-//! What the requests tell the metrics.
+//! The events that the requests report to the metrics.
 
 pub use bluebell_base::bands::LengthBand;
 use bluebell_base::prelude::*;
 use bluebell_policy::RefusalReason;
 
-/// Why a request was refused before it was sent anywhere.
+/// The reason why a request was refused before it was sent anywhere.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RefusedBy {
-    /// By the policy.
+    /// The policy refused it.
     Policy(RefusalReason),
-    /// The node holds as many requests or as many bytes of prompts as it may.
+    /// The node holds its limit of requests or of bytes of prompts.
     NodeFull,
     /// The node is stopping.
     Draining,
     /// No configuration is in force yet.
     NoConfig,
-    /// It names a class, model, account or service that the configuration does not.
+    /// It names a class, model, account or service that is not in the configuration.
     Unknown,
-    /// Each engine that ran it has ended.
+    /// Every engine that ran its content crashed.
     Quarantined,
     /// Another request holds its idempotency key.
     KeyHeld,
@@ -26,7 +26,7 @@
 }
 
 impl RefusedBy {
-    /// The label used in metrics.
+    /// Returns the label used in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Policy(RefusalReason::NoEngine) => "no_engine",
@@ -45,49 +45,49 @@
     }
 }
 
-/// Takes what happens to requests, for metrics; must not block.
+/// Receives the events of requests for the metrics; must not block.
 pub trait RequestObserver {
-    /// A request was admitted.
+    /// Records that a request was admitted.
     fn admitted(&mut self, class: &ClassName, band: LengthBand);
 
-    /// A request was refused before it was sent anywhere.
+    /// Records that a request was refused before it was sent anywhere.
     fn refused(&mut self, by: RefusedBy);
 
-    /// A request's first token came, that long after its arrival.
+    /// Records a request's first token and its delay since arrival.
     fn first_token(&mut self, class: &ClassName, band: LengthBand, after_ms: SpanMs);
 
-    /// A further token came, that long after the one before it.
+    /// Records a further token and its delay since the token before it.
     fn between_tokens(&mut self, class: &ClassName, band: LengthBand, gap_ms: SpanMs);
 
-    /// An attempt was sent to an upstream.
+    /// Records an attempt sent to an upstream.
     fn attempt(&mut self);
 
-    /// An attempt was one more after a failed one.
+    /// Records an attempt that follows a failed one.
     fn retry(&mut self);
 
-    /// An attempt was taken back from its engine, to be placed anew.
+    /// Records an attempt that was recalled from its engine to be placed anew.
     fn recalled(&mut self);
 
-    /// A retry was due but the budget was used up.
+    /// Records a retry that the budget did not allow.
     fn retry_denied(&mut self);
 
-    /// A request finished, that long after its arrival.
+    /// Records a finished request and its duration since arrival.
     fn finished(&mut self, class: &ClassName, band: LengthBand, after_ms: SpanMs);
 
-    /// An admitted request failed.
+    /// Records the failure of an admitted request.
     fn failed(&mut self, error: &Error);
 
-    /// A request was cancelled, by its caller or because the caller hung up.
+    /// Records a request cancelled by its caller, or because the caller hung up.
     fn cancelled(&mut self);
 
-    /// An event or answer came late, crossed or twice and was dropped.
+    /// Records a late, crossed or duplicate event or answer that was dropped.
     fn dropped_event(&mut self);
 
-    /// An upstream refused new work before it began.
+    /// Records that an upstream refused new work before it began.
     fn upstream_refused(&mut self, upstream: &UpstreamName, error: &Error);
 }
 
-/// Takes nothing down; for tests and embedded use.
+/// An observer that records nothing; for tests and embedded use.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoObserver;
 
--- a/crates/requests/src/print/mod.rs
+++ b/crates/requests/src/print/mod.rs
@@ -1,97 +1,97 @@
 //! The state dump: JSON text without prompts, answers, keys and secrets.
 
 use crate::actor::Requests;
-use crate::chores::ChoreKind;
-use crate::life::{Life, Phase, Reader, Work};
+use crate::cleanup::CleanupKind;
+use crate::request::{LiveRequest, Phase, Reader, Work};
 use bluebell_base::prelude::*;
 use serde::Serialize;
 
-/// Live requests listed in full in a dump; the rest are counted.
-pub const LISTED: usize = 200;
+/// The limit of live requests listed in a dump; the rest are only counted.
+pub const MAX_LISTED_REQUESTS: usize = 200;
 
-/// A node's requests, as dumped.
+/// The dump of a node's requests.
 #[derive(Debug, Serialize)]
 pub struct Dump {
     /// This run of the process.
     pub incarnation: Incarnation,
-    /// The configuration in force.
+    /// The version of the configuration in force.
     pub config: ConfigVersion,
-    /// Whether new calls are refused.
+    /// True if new calls are refused.
     pub draining: bool,
-    /// Live requests.
+    /// The number of live requests.
     pub live_count: usize,
     /// The bytes of prompts and bodies that they hold.
     pub live_bytes: Bytes,
-    /// The first of them.
+    /// The first [`MAX_LISTED_REQUESTS`] of them.
     pub live: Vec<LiveDump>,
-    /// Cancels and releases under way.
+    /// The cleanup tasks (cancels and releases) under way.
     pub chores: Vec<Arc<str>>,
-    /// Ended requests kept.
+    /// The number of ended requests kept.
     pub finished_count: usize,
-    /// Their size.
+    /// The bytes counted for them.
     pub finished_bytes: Bytes,
-    /// Callers waiting for a peer's word.
+    /// The number of callers that wait for another node's report.
     pub waiting_callers: usize,
-    /// Retries the node has left.
+    /// The retries that the node has left.
     pub retries_left: f64,
-    /// Engines and replicas.
+    /// The engines and replicas.
     pub upstreams: Vec<UpstreamDump>,
-    /// What the policy knows.
+    /// The policy's own dump.
     pub policy: Arc<str>,
 }
 
-/// A live request, as dumped.
+/// The dump of a live request.
 #[derive(Debug, Serialize)]
 pub struct LiveDump {
     /// The request.
     pub request: RequestId,
-    /// Whose it is.
+    /// The client account.
     pub account: AccountName,
     /// The class, or the service.
     pub work: Arc<str>,
-    /// Where it is.
+    /// The name of its phase.
     pub phase: &'static str,
-    /// What is known of it.
+    /// The verdict.
     pub verdict: Verdict,
-    /// The attempt.
+    /// The current or last attempt.
     pub attempt: AttemptNo,
-    /// Who has it.
+    /// The upstream that has it.
     pub upstream: Option<UpstreamName>,
-    /// Events delivered.
+    /// The number of events received.
     pub events: u64,
-    /// The prompt's length.
+    /// The prompt's length, as counted by the engine or estimated.
     pub prompt_tokens: Tokens,
-    /// Whether a caller reads it.
+    /// True if a caller reads it.
     pub read: bool,
-    /// How old it is.
+    /// The time since its arrival.
     pub age_ms: SpanMs,
-    /// How long it has left.
+    /// The time left until its deadline.
     pub left_ms: SpanMs,
 }
 
-/// An upstream, as dumped.
+/// The dump of an upstream.
 #[derive(Debug, Serialize)]
 pub struct UpstreamDump {
     /// Its name.
     pub name: UpstreamName,
-    /// Live, leaving or gone.
+    /// Its availability: live, leaving or gone.
     pub standing: Arc<str>,
-    /// Calls on the way, for a replica of a plain service.
+    /// The calls in flight; only for a replica of a plain service.
     pub in_flight: Option<u32>,
 }
 
 impl Requests {
-    /// The state, for a person.
+    /// Returns the state for the dump.
     pub(crate) fn to_dump(&self, now_ms: MonoMs) -> Dump {
-        let live = self.table().iter().take(LISTED);
-        let live = live.map(|(_, life)| self.live_dump(life, now_ms));
-        let chores = self.chores().iter();
-        let chores = chores.map(|chore| match &chore.kind {
-            ChoreKind::Cancel { attempt, .. } => {
-                format!("cancel {} {attempt}, tries {}", chore.request, chore.tries).into()
+        let live = self.table().iter().take(MAX_LISTED_REQUESTS);
+        let live = live.map(|(_, live)| self.live_dump(live, now_ms));
+        let chores = self.cleanups().iter();
+        let chores = chores.map(|task| match &task.kind {
+            CleanupKind::Cancel { attempt, .. } => {
+                format!("cancel {} {attempt}, tries {}", task.request, task.tries).into()
             }
-            ChoreKind::Release { reservation } => {
-                let (request, tries) = (chore.request, chore.tries);
+            CleanupKind::Release { reservation } => {
+                let (request, tries) = (task.request, task.tries);
                 format!("release {reservation} of {request}, tries {tries}").into()
             }
         });
@@ -103,48 +103,48 @@
             live_bytes: self.table().held_bytes(),
             live: live.collect(),
             chores: chores.collect(),
-            finished_count: self.ring().len(),
-            finished_bytes: self.ring().bytes(),
-            waiting_callers: self.waits().len(),
+            finished_count: self.finished().len(),
+            finished_bytes: self.finished().bytes(),
+            waiting_callers: self.waiting_callers().len(),
             retries_left: self.budgets().node_left(),
             upstreams: self.upstreams_dump(),
             policy: self.policy().dump().into(),
         }
     }
 
-    fn live_dump(&self, life: &Life, now_ms: MonoMs) -> LiveDump {
-        let work = match &life.work {
+    fn live_dump(&self, live: &LiveRequest, now_ms: MonoMs) -> LiveDump {
+        let work = match &live.work {
             Work::Answer(answer) => answer.class.0.clone(),
             Work::Exchange(exchange) => exchange.service.0.clone(),
         };
-        let upstream = life.upstream().and_then(|id| self.fleet().name(id));
+        let upstream = live.upstream().and_then(|id| self.fleet().name(id));
         LiveDump {
-            request: life.request,
-            account: life.account.clone(),
+            request: live.request,
+            account: live.account.clone(),
             work,
-            phase: phase_name(&life.phase),
-            verdict: life.verdict(),
-            attempt: life.attempt,
+            phase: phase_name(&live.phase),
+            verdict: live.verdict(),
+            attempt: live.attempt,
             upstream: upstream.cloned(),
-            events: life.answer().map_or(0, |answer| answer.next_seq()),
-            prompt_tokens: life
+            events: live.answer().map_or(0, |answer| answer.next_seq()),
+            prompt_tokens: live
                 .answer()
                 .map_or(Tokens::ZERO, |answer| answer.estimated_tokens()),
-            read: matches!(life.reader, Reader::Attached { .. }),
-            age_ms: now_ms.since(life.arrived_ms),
-            left_ms: life.deadline_ms.since(now_ms),
+            read: matches!(live.reader, Reader::Attached { .. }),
+            age_ms: now_ms.since(live.arrived_ms),
+            left_ms: live.deadline_ms.since(now_ms),
         }
     }
 
     fn upstreams_dump(&self) -> Vec<UpstreamDump> {
         let engines = self.fleet().engines().map(|(_, engine)| UpstreamDump {
             name: engine.name.clone(),
-            standing: format!("{:?}", engine.standing).to_lowercase().into(),
+            standing: format!("{:?}", engine.availability).to_lowercase().into(),
             in_flight: None,
         });
         let replicas = self.fleet().replicas().map(|(_, replica)| UpstreamDump {
             name: replica.name.clone(),
-            standing: format!("{:?}", replica.standing).to_lowercase().into(),
+            standing: format!("{:?}", replica.availability).to_lowercase().into(),
             in_flight: Some(replica.in_flight),
         });
         engines.chain(replicas).collect()
--- a/crates/requests/src/life/begin.rs
+++ b/crates/requests/src/request/begin.rs
@@ -1,9 +1,9 @@
 //! From arrival to the first upstream: the claim, the policy's admission and its decision.
 //!
-//! Invariants: work that may not be repeated and has a key isn't handed to anything that could run
-//! it before its claim is granted; work that may be repeated makes no claim.
+//! Invariants: a request that may not be repeated and has a key is not sent anywhere that could run
+//! it before its claim is granted. A request that may be repeated makes no claim.
 
-use super::{Context, Effect, Group, Life, Phase, Run, Work};
+use super::{Context, Effect, Group, LiveRequest, Phase, Run, Work};
 use crate::call::CallerEvent;
 use crate::observe::RefusedBy;
 use bluebell_base::prelude::*;
@@ -13,8 +13,8 @@
 use bluebell_upstreams::{Generate, Priority};
 use rand::Rng;
 
-impl Life {
-    /// The request has arrived.
+impl LiveRequest {
+    /// Starts a request that has arrived.
     pub fn begin(&mut self, cx: &mut Context<'_>) {
         match self.claim.clone() {
             Some(claim) => {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The answer to its claim came; `None` where the claims went away without one.
+    /// Handles the answer to the claim; `None` if the claims dropped it without one.
     pub fn on_claim(&mut self, answer: Option<Result<ClaimAnswer, Error>>, cx: &mut Context<'_>) {
         if !matches!(self.phase, Phase::Claiming { .. }) {
             cx.observer.dropped_event();
@@ -35,14 +35,15 @@
         match answer {
             Some(Ok(ClaimAnswer::Granted)) => self.start(cx),
             Some(Ok(ClaimAnswer::Held { by, state, same })) => {
-                self.on_held(by, state, same, cx);
+                self.on_key_held(by, state, same, cx);
             }
             Some(Err(error)) => self.claim_failed(&error.message, error.retry_after_ms, cx),
             None => self.claim_failed("the claims are stopping", None, cx),
         }
     }
 
-    /// The key could not be claimed: it must not run, and its caller hears so at once.
+    /// Fails a request whose key could not be claimed. It must not run, and its caller is informed
+    /// at once.
     pub fn claim_failed(&mut self, why: &str, after_ms: Option<SpanMs>, cx: &mut Context<'_>) {
         cx.observer.refused(RefusedBy::ClaimFailed);
         let message = format!("the idempotency key could not be claimed: {why}");
@@ -51,14 +52,15 @@
         self.fail(error.retry_after(after_ms), cx);
     }
 
-    fn on_held(&mut self, by: RequestId, state: ClaimState, same: bool, cx: &mut Context<'_>) {
-        // The claim was granted, its answer was lost and the claims asked again: it is ours.
+    fn on_key_held(&mut self, by: RequestId, state: ClaimState, same: bool, cx: &mut Context<'_>) {
+        // The claim was granted, but its answer was lost and the claims sent it again: this request
+        // holds the key.
         if by == self.request && state == ClaimState::Pending {
             self.start(cx);
             return;
         }
         cx.observer.refused(RefusedBy::KeyHeld);
-        // Somebody else's claim isn't ours to settle.
+        // Another request's claim must not be settled by this one.
         self.claim = None;
         let error = match (same, state) {
             (false, _) => Error::not_run(
@@ -77,7 +79,7 @@
         self.fail_as(error, cx);
     }
 
-    /// Nothing stands in the way of running it.
+    /// Starts a request whose claim, if it needs one, is granted.
     pub(crate) fn start(&mut self, cx: &mut Context<'_>) {
         match self.work {
             Work::Answer(_) => self.admit(cx),
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Hands it to the policy, for the first time or again.
+    /// Submits the request to the policy, for the first time or again.
     pub(crate) fn admit(&mut self, cx: &mut Context<'_>) {
         let Some(job) = self.answer().and_then(|answer| answer.job.clone()) else {
             return;
@@ -93,63 +95,66 @@
         match cx.policy.admit(job, cx.now_ms) {
             Ok(()) => {
                 self.phase = Phase::Queued;
-                self.tell_admitted(cx);
+                self.send_admitted(cx);
             }
-            Err(refusal) => self.wait_or_refuse(refusal, cx),
+            Err(refusal) => self.back_off_or_refuse(refusal, cx),
         }
     }
 
-    /// Waits for the refusal's reason to pass where a later try may still succeed; ends at once
-    /// otherwise.
+    /// Waits for the cause of the refusal to pass if a later try may still succeed; otherwise fails
+    /// at once.
     ///
     /// The policy does not keep what it refuses, so there is nothing to withdraw.
-    fn wait_or_refuse(&mut self, refusal: Refusal, cx: &mut Context<'_>) {
-        let last_try_ms = self.last_try_ms();
-        if !self.may_wait_for(refusal.reason) || !self.wait_for_try(last_try_ms, cx) {
-            self.leave_all(cx);
+    fn back_off_or_refuse(&mut self, refusal: Refusal, cx: &mut Context<'_>) {
+        let latest_try_ms = self.latest_try_ms();
+        if !self.may_wait_for(refusal.reason) || !self.schedule_retry(latest_try_ms, cx) {
+            self.clear_dispatch(cx);
             self.refuse(refusal, cx);
         }
     }
 
-    /// When a try to place refused work comes too late: at the deadline or, while its caller has
-    /// no first token, when that token is due.
-    fn last_try_ms(&self) -> MonoMs {
-        let unbegun = self.answer().filter(|answer| answer.next_seq() == 0);
-        let job = unbegun.and_then(|answer| answer.job.as_ref());
+    /// Returns the time from which a try to place refused work is too late: the deadline or, before
+    /// the first token, the time at which that token is due.
+    fn latest_try_ms(&self) -> MonoMs {
+        let not_begun = self.answer().filter(|answer| answer.next_seq() == 0);
+        let job = not_begun.and_then(|answer| answer.job.as_ref());
         job.map_or(self.deadline_ms, |job| {
             self.deadline_ms.min(job.first_token_due_ms)
         })
     }
 
-    /// Whether work that was begun and lost its engine waits for the refusal's reason to pass.
+    /// Returns true if work that has already begun and lost its engine waits for the cause of the
+    /// refusal to pass.
     ///
-    /// Its caller has part of an answer, or can't be told that nothing ran: giving it up because
-    /// the fleet is short just after the engine died would lose what waiting a moment may save.
-    /// Work that hasn't run is given back at once, so that its caller can choose.
+    /// Its caller has part of an answer, or cannot be told that nothing ran. The fleet may be short
+    /// of capacity only briefly after an engine crashed, so failing at once would lose work that a
+    /// short wait may save. Work that has not run is refused at once, so that its caller can
+    /// choose.
     fn may_wait_for(&self, reason: RefusalReason) -> bool {
-        let passing = match reason {
+        let is_temporary = match reason {
             RefusalReason::NoEngine | RefusalReason::Overloaded | RefusalReason::OverShare => true,
             RefusalReason::TooLate | RefusalReason::TooLong => false,
         };
-        passing && self.verdict() != Verdict::NotRun
+        is_temporary && self.verdict() != Verdict::NotRun
     }
 
-    /// The policy gives up what it had taken.
+    /// Handles the policy's refusal of a request that it had admitted.
     pub fn on_refuse(&mut self, refusal: Refusal, cx: &mut Context<'_>) {
         if !matches!(self.phase, Phase::Queued) {
             return;
         }
-        self.wait_or_refuse(refusal, cx);
+        self.back_off_or_refuse(refusal, cx);
     }
 
-    /// Neither the policy nor an upstream has it any more, so that its end lets go of nothing.
-    pub(crate) fn leave_all(&mut self, cx: &Context<'_>) {
+    /// Marks the request as held by neither the policy nor an upstream, so that its end releases
+    /// nothing there.
+    pub(crate) fn clear_dispatch(&mut self, cx: &Context<'_>) {
         self.phase = Phase::Backoff {
             until_ms: cx.now_ms,
         };
     }
 
-    /// Fails by the policy's refusal.
+    /// Fails the request with the policy's refusal.
     fn refuse(&mut self, refusal: Refusal, cx: &mut Context<'_>) {
         cx.observer.refused(RefusedBy::Policy(refusal.reason));
         let (kind, message) = match refusal.reason {
@@ -163,7 +168,7 @@
         self.fail(error.retry_after(refusal.retry_after_ms), cx);
     }
 
-    pub(crate) fn tell_admitted(&mut self, cx: &mut Context<'_>) {
+    pub(crate) fn send_admitted(&mut self, cx: &mut Context<'_>) {
         if self.admitted {
             return;
         }
@@ -173,17 +178,18 @@
             cx.observer.admitted(class, band);
         }
         let request = self.request;
-        self.tell(CallerEvent::Admitted { request }, cx);
+        self.send_to_reader(CallerEvent::Admitted { request }, cx);
     }
 
-    /// The policy sends it to an engine.
+    /// Handles the policy's decision to send the request to an engine.
     pub fn on_send(&mut self, upstream: UpstreamId, priority: Priority, cx: &mut Context<'_>) {
         if !matches!(self.phase, Phase::Queued) {
-            // Withdrawn or ended while the policy decided; the policy hears that nothing ran.
+            // The request was withdrawn or ended while the policy decided. The policy must learn
+            // that nothing ran.
             cx.policy.on_end(self.request, Outcome::NotRun, cx.now_ms);
             return;
         }
-        if !cx.fleet.takes_work(upstream) || self.recalls.are_left_at(upstream) {
+        if !cx.fleet.accepts_work(upstream) || self.recalls.may_remain_on(upstream) {
             self.end_attempt(Outcome::NotRun, cx);
             self.avoid(upstream);
             self.back_off(cx);
@@ -192,7 +198,7 @@
         self.generate(upstream, priority, None, cx);
     }
 
-    /// Sends it to an engine, alone or with a group whose memory is reserved.
+    /// Sends the request to an engine, alone or with a group whose memory is reserved.
     pub(crate) fn generate(
         &mut self,
         upstream: UpstreamId,
@@ -209,17 +215,17 @@
         let call = self.generate_call(priority, group.as_ref(), cx);
         let first_seq = self.answer().map_or(0, |answer| answer.next_seq());
         let mut run = Run::new(upstream, link, first_seq, cx);
-        run.generated = Some(link);
+        run.generate_link = Some(link);
         run.group = group;
         self.phase = Phase::Running(run);
-        self.sent_to = Some(upstream);
+        self.last_upstream = Some(upstream);
         let Some(call) = call else {
             let error = Error::not_run(ErrorKind::Internal, "the prompt is gone");
             self.fail(error, cx);
             return;
         };
-        // From here on nobody can say that it didn't run until the engine says so.
-        self.present = Verdict::MayHaveRun;
+        // From here on the request may have run until the engine says otherwise.
+        self.current_verdict = Verdict::MayHaveRun;
         cx.observer.attempt();
         let resent = std::mem::take(&mut self.recalls.resend);
         if self.attempt.0 > 1 && !resent {
@@ -252,13 +258,13 @@
             deadline_ms: self.deadline_ms.since(cx.now_ms),
             continue_from: answer.tokens.clone(),
             group: group.map(|group| group.reservation),
-            group_kv_tokens: group.map_or(Tokens::ZERO, Group::lent_tokens),
+            group_kv_tokens: group.map_or(Tokens::ZERO, Group::member_tokens),
         })
     }
 
-    /// A new configuration numbers accounts and classes anew; one that it no longer has keeps its
-    /// old number until the request ends.
-    pub fn renumber(&mut self, config: &FleetConfig) {
+    /// Updates the ids of the account and class, which change with each configuration. An account
+    /// or class that the configuration no longer has keeps its old id until the request ends.
+    pub fn update_config_ids(&mut self, config: &FleetConfig) {
         let account = config.account(&self.account).map(|(id, _)| id);
         let Some(answer) = self.answer_mut() else {
             return;
@@ -269,28 +275,28 @@
         job.class = class.unwrap_or(job.class);
     }
 
-    /// Waits a jittered moment, then goes to the policy again; ends at once where the deadline
-    /// leaves no time for that.
+    /// Schedules another submission to the policy after a jittered pause; fails at once if the
+    /// deadline leaves no time for it.
     pub(crate) fn back_off(&mut self, cx: &mut Context<'_>) {
-        if self.wait_for_try(self.deadline_ms, cx) {
+        if self.schedule_retry(self.deadline_ms, cx) {
             return;
         }
         let error = Error::not_run(ErrorKind::Unavailable, "no engine took it in time");
         self.fail(error.retry_after(cx.settings.retry_after_ms), cx);
     }
 
-    /// Waits a jittered moment for the next try; `false` where it would come at `last_try_ms` or
-    /// later.
+    /// Schedules the next try after a jittered pause. Returns `false` if it would come at
+    /// `latest_try_ms` or later.
     ///
-    /// A request that waits for such a try has been given up already: its caller would hear
-    /// nothing until the deadline, and then not when to come back.
-    fn wait_for_try(&mut self, last_try_ms: MonoMs, cx: &mut Context<'_>) -> bool {
+    /// Waiting for such a try is pointless: the caller would receive nothing until the deadline,
+    /// and then no time to come back.
+    fn schedule_retry(&mut self, latest_try_ms: MonoMs, cx: &mut Context<'_>) -> bool {
         let pause_ms = cx.settings.backoff(self.requeues);
         self.requeues += 1;
         let jitter = cx.rng.random_range(0.5..1.5);
         let until_ms = cx.now_ms + pause_ms.mul_f64(jitter);
         self.phase = Phase::Backoff { until_ms };
-        until_ms < last_try_ms
+        until_ms < latest_try_ms
     }
 
     pub(crate) fn avoid(&mut self, upstream: UpstreamId) {
@@ -304,7 +310,7 @@
         }
     }
 
-    /// Tells the policy how the attempt ended; the policy knows nothing of an adopted request.
+    /// Reports the outcome of the attempt to the policy, which does not know adopted requests.
     pub(crate) fn end_attempt(&self, outcome: Outcome, cx: &mut Context<'_>) {
         if !self.is_adopted() {
             cx.policy.on_end(self.request, outcome, cx.now_ms);
--- a/crates/requests/src/life/due.rs
+++ b/crates/requests/src/request/due.rs
@@ -1,17 +1,18 @@
-//! What falls due: the deadline, the grace after a hang-up, and whatever the phase waits for.
+//! The handling of due times: the deadline, the grace period after a hang-up and the timeout of the
+//! current phase.
 //!
-//! Invariants: the deadline comes first, whatever else is due; a request always has a next due
-//! instant, so none waits for an upstream, the claims or a peer that stays silent.
+//! Invariants: the deadline is checked before anything else that is due. A request always has a
+//! next due time, so none waits forever for a silent upstream, claim or peer.
 
-use super::{Context, Group, Life, Mode, Phase, Reader, Run};
+use super::{Context, Group, LiveRequest, Mode, Phase, Reader, Run};
 use bluebell_base::prelude::*;
 
-impl Life {
-    /// When [`Life::on_due`] must be called next, at the latest.
+impl LiveRequest {
+    /// Returns the latest time at which [`LiveRequest::on_due`] must be called next.
     pub fn next_due_ms(&self) -> MonoMs {
         let mut due_ms = self.deadline_ms;
-        if let Some(grace_ms) = self.grace_ms() {
-            due_ms = due_ms.min(grace_ms);
+        if let Some(grace_end_ms) = self.grace_end_ms() {
+            due_ms = due_ms.min(grace_end_ms);
         }
         let deadline_ms = self.deadline_ms;
         match &self.phase {
@@ -25,11 +26,11 @@
         }
     }
 
-    /// When nobody has read on in time.
+    /// Returns the time at which a request without a reader is cancelled.
     ///
-    /// A call on its way to a plain service can't be cancelled there, and its answer still settles
-    /// its claim: it goes on.
-    fn grace_ms(&self) -> Option<MonoMs> {
+    /// A call sent to a plain service cannot be cancelled there, and its answer still settles its
+    /// claim, so it continues.
+    fn grace_end_ms(&self) -> Option<MonoMs> {
         match (&self.reader, &self.phase) {
             (_, Phase::Exchanging { .. } | Phase::Cancelling { .. }) => None,
             (Reader::Detached { until_ms }, _) => Some(*until_ms),
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Its timer fired; does whatever is due by now.
+    /// Handles whatever is due by now.
     pub fn on_due(&mut self, cx: &mut Context<'_>) {
         if self.is_done() {
             return;
@@ -46,8 +47,8 @@
             return;
         }
         if self
-            .grace_ms()
-            .is_some_and(|grace_ms| cx.now_ms >= grace_ms)
+            .grace_end_ms()
+            .is_some_and(|grace_end_ms| cx.now_ms >= grace_end_ms)
         {
             self.fail_cancelled(cx);
             return;
@@ -69,11 +70,11 @@
         }
     }
 
-    /// Ends it where its deadline passed; gives whether that was so.
+    /// Fails the request if its deadline has passed, and returns true if so.
     ///
-    /// Nothing is sent upstream behind the deadline: on a busy node a grant or a decision can come
-    /// before the timer of the deadline, and the work would begin for a caller that is told next
-    /// that time is up.
+    /// Nothing is sent upstream after the deadline. On a busy node a grant or a decision can arrive
+    /// before the deadline's timer; the work would then begin for a caller that is told immediately
+    /// afterwards that its time is up.
     pub(crate) fn expire(&mut self, cx: &mut Context<'_>) -> bool {
         if cx.now_ms < self.deadline_ms {
             return false;
@@ -89,18 +90,18 @@
         };
         let renewal = run.group.as_ref().map(|group| group.due_ms);
         let mode = run.mode;
-        let quiet_until_ms = run.heard_ms + run.quiet_ms;
+        let silence_end_ms = run.last_received_ms + run.silence_limit_ms;
         if renewal.is_some_and(|due_ms| cx.now_ms >= due_ms) {
             self.renew_group(cx);
         }
-        if self.rest() {
+        if self.await_reader_if_detached() {
             return;
         }
         match mode {
-            Mode::Reading if cx.now_ms >= quiet_until_ms => self.ask(cx),
-            Mode::Asking { until_ms, .. } if cx.now_ms >= until_ms => self.on_no_state(cx),
-            Mode::Pausing { until_ms } if cx.now_ms >= until_ms => self.resume(cx),
-            Mode::PausingToAsk { until_ms } if cx.now_ms >= until_ms => self.ask(cx),
+            Mode::Reading if cx.now_ms >= silence_end_ms => self.look_up(cx),
+            Mode::LookingUp { until_ms, .. } if cx.now_ms >= until_ms => self.on_lookup_failed(cx),
+            Mode::WaitingToResume { until_ms } if cx.now_ms >= until_ms => self.resume(cx),
+            Mode::WaitingToLookUp { until_ms } if cx.now_ms >= until_ms => self.look_up(cx),
             _ => (),
         }
     }
@@ -109,11 +110,11 @@
 impl Run {
     fn next_due_ms(&self, deadline_ms: MonoMs) -> MonoMs {
         let due_ms = match self.mode {
-            Mode::Resting => deadline_ms,
-            Mode::Reading => self.heard_ms + self.quiet_ms,
-            Mode::Asking { until_ms, .. }
-            | Mode::Pausing { until_ms }
-            | Mode::PausingToAsk { until_ms } => until_ms,
+            Mode::AwaitingReader => deadline_ms,
+            Mode::Reading => self.last_received_ms + self.silence_limit_ms,
+            Mode::LookingUp { until_ms, .. }
+            | Mode::WaitingToResume { until_ms }
+            | Mode::WaitingToLookUp { until_ms } => until_ms,
         };
         let renewal = self.group.as_ref().map(Group::due);
         renewal.map_or(due_ms, |renewal_ms| due_ms.min(renewal_ms))
--- a/crates/requests/src/life/end.rs
+++ b/crates/requests/src/request/end.rs
@@ -1,17 +1,17 @@
-//! The end of a request: finished, failed or cancelled, with its claim settled and whatever it
-//! holds upstream let go.
+//! The end of a request: it finishes, fails or is cancelled, its claim is settled and whatever it
+//! holds upstream is released.
 //!
-//! Invariants: the reader gets its last event here and only here; a claim is settled `NotRun` only
-//! where it is certain, which after a dispatch means by the engine's own word.
+//! Invariants: the last event is sent to the reader only here. A claim is settled `NotRun` only
+//! when that is certain, which after a dispatch requires the engine's own answer.
 
-use super::{CancelReply, Context, Effect, Ended, Last, Life, Mode, Phase};
+use super::{CancelReply, Context, Effect, Ended, FinalEvent, LiveRequest, Mode, Phase};
 use bluebell_base::prelude::*;
 use bluebell_peers::{SettleCall, Settlement};
 use bluebell_policy::Outcome;
 use bluebell_upstreams::{CancelAnswer, FinishReason};
 
-impl Life {
-    /// The answer is whole.
+impl LiveRequest {
+    /// Finishes the request with a complete answer.
     pub(crate) fn finish(&mut self, reason: FinishReason, cx: &mut Context<'_>) {
         let Some(answer) = self.answer() else {
             return;
@@ -25,9 +25,9 @@
         self.release_group(cx);
         self.end_attempt(Outcome::Finished(answer_tokens), cx);
         self.settle(Settlement::Ran, cx);
-        self.on_served(cx);
+        self.clear_quarantine(cx);
         self.observe_finished(cx);
-        let last = Last::Finished {
+        let last = FinalEvent::Finished {
             reason,
             prompt_tokens,
             answer_tokens,
@@ -35,20 +35,21 @@
         self.close(last, cx);
     }
 
-    /// Fails with `error`, but for its verdict, which is the request's own.
+    /// Fails the request with `error`, whose verdict is replaced by the request's own.
     pub(crate) fn fail(&mut self, error: Error, cx: &mut Context<'_>) {
         let verdict = self.verdict();
         self.fail_as(Error { verdict, ..error }, cx);
     }
 
-    /// Fails with `error` as it is.
+    /// Fails the request with `error` unchanged.
     pub(crate) fn fail_as(&mut self, error: Error, cx: &mut Context<'_>) {
-        self.let_go(&error, cx);
-        self.leave_policy(cx);
+        self.release_phase(&error, cx);
+        self.withdraw_from_policy(cx);
         match self.verdict() {
             Verdict::NotRun => self.settle(Settlement::NotRun, cx),
             Verdict::Ran => self.settle(Settlement::Ran, cx),
-            // Nobody knows: the key stays held, and its retries hear "may have run".
+            // The verdict is unknown: the key stays held, and retries with it receive "may have
+            // run".
             Verdict::MayHaveRun => (),
         }
         if self.admitted {
@@ -57,11 +58,11 @@
         if error.kind == ErrorKind::Cancelled {
             cx.observer.cancelled();
         }
-        self.close(Last::Failed(error), cx);
+        self.close(FinalEvent::Failed(error), cx);
     }
 
-    /// Lets go of whatever the present phase holds at the policy and upstream.
-    fn let_go(&mut self, error: &Error, cx: &mut Context<'_>) {
+    /// Releases whatever the current phase holds at the policy and upstream.
+    fn release_phase(&mut self, error: &Error, cx: &mut Context<'_>) {
         match &self.phase {
             Phase::Reserving(_) => {
                 self.release_group(cx);
@@ -69,9 +70,9 @@
             }
             Phase::Running(run) => {
                 let upstream = run.upstream;
-                // The policy learns of silent engines by this, and must not blame one for a
-                // caller that went away or a deadline that was too near.
-                let silent = run.tries > 0 || matches!(run.mode, Mode::Asking { .. });
+                // The policy learns of silent engines from this outcome. It must not blame an
+                // engine for a caller that disconnected or a deadline that was too short.
+                let silent = run.failed_tries > 0 || matches!(run.mode, Mode::LookingUp { .. });
                 let blamed = error.kind == ErrorKind::Upstream || silent;
                 let outcome = match blamed && error.kind != ErrorKind::Cancelled {
                     true => Outcome::Failed,
@@ -81,7 +82,7 @@
                 self.release_group(cx);
                 self.end_attempt(outcome, cx);
             }
-            // Its cancel is on its way already, and goes on without the request.
+            // The recall already sent its cancel, which is retried independently of the request.
             Phase::Recalling { .. } => (),
             Phase::Queued
             | Phase::Claiming { .. }
@@ -92,32 +93,32 @@
         }
     }
 
-    /// Takes it out of the policy, where it is queued there.
+    /// Withdraws the request from the policy, if it is queued there.
     ///
-    /// The policy queues a job again by itself where an attempt that it wanted back ends before its
-    /// first token, whether or not the recall was carried out: the deadline's or the caller's cancel
-    /// looks the same to it. An ended request would be sent on its behalf later.
-    fn leave_policy(&self, cx: &mut Context<'_>) {
+    /// The policy queues a job again on its own when an attempt that it recalled ends before its
+    /// first token, even if the recall was not carried out: a cancel by the deadline or the caller
+    /// looks the same to it. Without the withdrawal it would later send an ended request.
+    fn withdraw_from_policy(&self, cx: &mut Context<'_>) {
         if self.answer().is_some() && !self.is_adopted() {
             cx.policy.withdraw(self.request, cx.now_ms);
         }
     }
 
-    /// Cancels the present attempt; where its fate is unknown, the claim is settled by the
-    /// engine's answer.
-    fn cancel_upstream(&mut self, upstream: UpstreamId, tell: bool, cx: &mut Context<'_>) {
-        if self.present == Verdict::NotRun {
+    /// Cancels the current attempt. If the verdict is unknown, the engine's answer settles the
+    /// claim.
+    fn cancel_upstream(&mut self, upstream: UpstreamId, awaited: bool, cx: &mut Context<'_>) {
+        if self.current_verdict == Verdict::NotRun {
             return;
         }
-        let unsure = self.verdict() == Verdict::MayHaveRun;
-        let claim = match unsure {
+        let is_unknown = self.verdict() == Verdict::MayHaveRun;
+        let claim = match is_unknown {
             true => self.claim.take(),
             false => None,
         };
         cx.out.push(Effect::Cancel {
             upstream,
             attempt: self.attempt,
-            tell,
+            awaited,
             settle: claim.map(|claim| claim.key),
         });
     }
@@ -140,11 +141,11 @@
         }
     }
 
-    /// Tells the reader the last event and ends.
-    pub(crate) fn close(&mut self, last: Last, cx: &mut Context<'_>) {
-        // A plain service's answer is told by the caller of this function, with its body.
+    /// Sends the last event to the reader and ends the request.
+    pub(crate) fn close(&mut self, last: FinalEvent, cx: &mut Context<'_>) {
+        // The caller of this function sends a plain service's answer itself, with the body.
         if let Some(event) = last.event(self.request) {
-            self.tell(event, cx);
+            self.send_to_reader(event, cx);
         }
         self.phase = Phase::Done;
         self.ended = Some(Ended {
@@ -156,23 +157,24 @@
         }
     }
 
-    /// Its caller asks to cancel it.
+    /// Handles the caller's call to cancel the request.
     pub fn cancel(&mut self, reply: CancelReply, cx: &mut Context<'_>) {
-        self.cancels.push(reply);
+        self.cancel_replies.push(reply);
         match &self.phase {
             Phase::Running(run) => {
                 let upstream = run.upstream;
                 self.cancel_upstream(upstream, true, cx);
                 self.release_group(cx);
                 self.end_attempt(Outcome::Cancelled, cx);
-                self.leave_policy(cx);
+                self.withdraw_from_policy(cx);
                 let until_ms = cx.now_ms + cx.settings.answer_wait_ms;
                 self.phase = Phase::Cancelling { until_ms, upstream };
             }
             Phase::Recalling { upstream, .. } => {
-                // The recall's cancel is answered to this request as well as another would be.
+                // The answer to the recall's cancel also answers the caller's, so no second one is
+                // sent.
                 let upstream = *upstream;
-                self.leave_policy(cx);
+                self.withdraw_from_policy(cx);
                 let until_ms = cx.now_ms + cx.settings.answer_wait_ms;
                 self.phase = Phase::Cancelling { until_ms, upstream };
             }
@@ -181,38 +183,38 @@
         }
     }
 
-    /// The engine's answer to the cancel of an attempt, by the caller or by a recall; `None` where
-    /// none came.
+    /// Handles the engine's answer to the cancel of an attempt, sent for the caller or a recall;
+    /// `None` if there was no answer.
     pub fn on_cancelled(
         &mut self,
         attempt: AttemptNo,
         answer: Option<CancelAnswer>,
         cx: &mut Context<'_>,
     ) {
-        // A recall's cancel can be answered after the request went on without it; it says nothing
-        // of the attempt that is cancelled or recalled now.
-        let present = attempt == self.attempt;
-        if present && matches!(self.phase, Phase::Recalling { .. }) {
+        // The answer to a recall's cancel can arrive after the request went on without it. It then
+        // says nothing about the attempt that is being cancelled or recalled now.
+        let is_current = attempt == self.attempt;
+        if is_current && matches!(self.phase, Phase::Recalling { .. }) {
             self.on_recalled(answer, cx);
             return;
         }
-        if !present || !matches!(self.phase, Phase::Cancelling { .. }) {
-            self.recalls.on_late(attempt);
+        if !is_current || !matches!(self.phase, Phase::Cancelling { .. }) {
+            self.recalls.on_late_answer(attempt);
             cx.observer.dropped_event();
             return;
         }
         match answer {
-            Some(CancelAnswer::NotRun) if self.present != Verdict::Ran => {
-                self.present = Verdict::NotRun;
+            Some(CancelAnswer::NotRun) if self.current_verdict != Verdict::Ran => {
+                self.current_verdict = Verdict::NotRun;
             }
-            Some(CancelAnswer::Ran) => self.present = Verdict::Ran,
-            // `Unknown` may be an engine that ran it, restarted and forgot.
+            Some(CancelAnswer::Ran) => self.current_verdict = Verdict::Ran,
+            // `Unknown` may come from an engine that ran the request, restarted and lost its state.
             _ => (),
         }
         self.fail_cancelled(cx);
     }
 
-    /// Ends as cancelled.
+    /// Fails the request as cancelled.
     pub(crate) fn fail_cancelled(&mut self, cx: &mut Context<'_>) {
         let error = Error::may_have_run(ErrorKind::Cancelled, "cancelled by its caller");
         self.fail(error, cx);
--- a/crates/requests/src/life/exchange.rs
+++ b/crates/requests/src/request/exchange.rs
@@ -1,25 +1,26 @@
-//! Calls to plain services: one exchange with one replica, repeated on another where it may be.
+//! Calls to plain services: one exchange with one replica, repeated at another replica if the call
+//! allows it.
 //!
-//! Invariants: a call that may not be repeated goes to a second replica only where the first one's
+//! Invariants: a call that may not be repeated goes to a second replica only if the first one's
 //! connection was refused before anything was sent.
 
-use super::{Context, Effect, Last, Life, LinkNo, Phase, Work};
+use super::{Context, Effect, FinalEvent, LinkNo, LiveRequest, Phase, Work};
 use crate::call::CallerEvent;
 use bluebell_base::prelude::*;
 use bluebell_peers::Settlement;
 use bluebell_upstreams::ServiceAnswer;
 
-/// The part of the remaining time that the first try of a repeatable call may take, so that a
+/// The divisor of the remaining time that limits the first try of a repeatable call, so that a
 /// silent replica leaves time for another.
-const FIRST_TRY_SHARE: u64 = 2;
+const FIRST_TRY_TIME_DIVISOR: u64 = 2;
 
-impl Life {
+impl LiveRequest {
     /// Sends the call to a replica.
     pub(crate) fn dispatch(&mut self, cx: &mut Context<'_>) {
         if self.expire(cx) {
             return;
         }
-        self.tell_admitted(cx);
+        self.send_admitted(cx);
         let left_ms = self.deadline_ms.since(cx.now_ms);
         let (repeatable, first) = (self.repeatable, self.attempt.0 == 0);
         let Work::Exchange(exchange) = &mut self.work else {
@@ -34,13 +35,13 @@
         };
         let mut call = exchange.call.clone();
         call.timeout_ms = match repeatable && first {
-            true => SpanMs(left_ms.0.div_ceil(FIRST_TRY_SHARE)),
+            true => SpanMs(left_ms.0.div_ceil(FIRST_TRY_TIME_DIVISOR)),
             false => left_ms,
         };
         self.attempt = AttemptNo(self.attempt.0 + 1);
-        self.present = Verdict::MayHaveRun;
+        self.current_verdict = Verdict::MayHaveRun;
         self.phase = Phase::Exchanging { upstream };
-        self.sent_to = Some(upstream);
+        self.last_upstream = Some(upstream);
         let link = self.next_link();
         cx.observer.attempt();
         if !first {
@@ -53,7 +54,7 @@
         });
     }
 
-    /// The replica's answer; `None` where the port dropped it.
+    /// Handles the replica's answer; `None` if the port dropped the call.
     pub fn on_exchanged(
         &mut self,
         link: LinkNo,
@@ -79,34 +80,34 @@
     }
 
     fn on_service_answer(&mut self, answer: ServiceAnswer, cx: &mut Context<'_>) {
-        self.present = Verdict::Ran;
+        self.current_verdict = Verdict::Ran;
         self.settle(Settlement::Ran, cx);
         let event = CallerEvent::Service {
             status: answer.status,
             content_type: answer.content_type,
             body: answer.body,
         };
-        self.tell(event, cx);
-        self.close(Last::Service, cx);
+        self.send_to_reader(event, cx);
+        self.close(FinalEvent::Service, cx);
     }
 
     fn on_exchange_failed(&mut self, upstream: UpstreamId, error: Error, cx: &mut Context<'_>) {
         if error.verdict == Verdict::NotRun {
-            self.present = Verdict::NotRun;
+            self.current_verdict = Verdict::NotRun;
         }
         if let Some(name) = cx.fleet.name(upstream) {
             cx.observer.upstream_refused(name, &error);
         }
         let may_repeat = self.repeatable || self.verdict() == Verdict::NotRun;
-        self.earlier = self.verdict();
-        self.present = Verdict::NotRun;
+        self.earlier_verdict = self.verdict();
+        self.current_verdict = Verdict::NotRun;
         let Work::Exchange(exchange) = &mut self.work else {
             return;
         };
         exchange.avoid.push(upstream);
         let next = cx.fleet.route(&exchange.service, &exchange.avoid);
         if !may_repeat {
-            // Coming back would be the repetition that must not be.
+            // A retry hint would invite the caller to repeat a call that must not be repeated.
             self.fail(error, cx);
             return;
         }
--- a/crates/requests/src/life/group.rs
+++ b/crates/requests/src/request/group.rs
@@ -1,21 +1,21 @@
-//! Groups: memory of several engines for one long prompt, all of it or none.
+//! Groups: the memory of several engines, reserved all or nothing for one long prompt.
 //!
-//! Invariants: nothing is generated before the leader and every member granted their parts; a
-//! group that lacks a part lets go of all others before it tries again, so no two groups wait for
-//! each other's memory; every part carries this node's incarnation and an expiry, so a dead node
-//! strands none.
+//! Invariants: nothing is generated before the leader and every member have granted their parts. A
+//! group that lacks a part releases all others before it tries again, so no two groups wait for
+//! each other's memory. Every part carries this node's incarnation and an expiry, so a dead node
+//! leaves no memory reserved for good.
 
-use super::{Context, Effect, Group, Life, Member, Phase};
+use super::{Context, Effect, Group, LiveRequest, Member, Phase};
 use bluebell_base::prelude::*;
 use bluebell_policy::{GroupPart, Outcome};
 use bluebell_upstreams::{Priority, Reserve};
 use rand::Rng;
 
-/// Renewals within one holding time, so that two may be lost without losing the memory.
+/// The number of renewals within one hold time. Two may be lost without losing the memory.
 const RENEWALS_PER_HOLD: u64 = 3;
 
-impl Life {
-    /// The policy wants a group.
+impl LiveRequest {
+    /// Handles the policy's decision to run the request on a group.
     pub fn on_group(
         &mut self,
         leader: UpstreamId,
@@ -27,15 +27,15 @@
             cx.policy.on_end(self.request, Outcome::NotRun, cx.now_ms);
             return;
         }
-        // The leader's own part is reserved too. Were it only waited for, two groups could each hold
-        // members and wait for the other's leader for ever.
-        let lent: Tokens = members.iter().map(|part| part.kv_tokens).sum();
+        // The leader's own part is reserved too. If the request only waited for it, two groups
+        // could each hold members and wait for the other's leader forever.
+        let member_tokens: Tokens = members.iter().map(|part| part.kv_tokens).sum();
         let own = GroupPart {
             upstream: leader,
-            kv_tokens: self.kv_tokens().saturating_sub(lent),
+            kv_tokens: self.kv_tokens().saturating_sub(member_tokens),
         };
         let parts = std::iter::once(&own).chain(members);
-        let members: Vec<Member> = parts.map(Member::wanted).collect();
+        let members: Vec<Member> = parts.map(Member::requested).collect();
         let group = Group {
             reservation: ReservationId(cx.rng.random()),
             leader,
@@ -43,7 +43,7 @@
             members,
             due_ms: cx.now_ms + cx.settings.answer_wait_ms,
         };
-        let ready = group.is_ready(cx) && !self.recalls.are_left_at(leader);
+        let ready = group.is_ready(cx) && !self.recalls.may_remain_on(leader);
         self.push_reserves(&group, cx);
         self.phase = Phase::Reserving(group);
         if !ready {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The memory that prompt and answer need.
+    /// Returns the KV memory that the prompt and the answer need.
     fn kv_tokens(&self) -> Tokens {
         let job = self.answer().and_then(|answer| answer.job.as_ref());
         job.map_or(Tokens::ZERO, |job| job.kv_tokens())
@@ -72,7 +72,7 @@
         }
     }
 
-    /// A member's answer to a reservation or renewal.
+    /// Handles a member's answer to a reservation or renewal.
     pub fn on_reserved(
         &mut self,
         reservation: ReservationId,
@@ -86,9 +86,9 @@
             _ => None,
         };
         let Some(group) = held.filter(|group| group.reservation == reservation) else {
-            // The group was given up while this member's answer was on its way, and its release
-            // may have overtaken the grant: without another one the memory would be held by
-            // nobody until it expires.
+            // The group was given up while this answer was under way, and its release may have
+            // overtaken the grant. Without a second release nobody would own the memory until it
+            // expires.
             if granted {
                 cx.out.push(Effect::Release {
                     upstream,
@@ -104,21 +104,21 @@
         member.granted |= granted;
         if matches!(self.phase, Phase::Reserving(_)) {
             match granted {
-                true => self.lead_if_granted(cx),
+                true => self.generate_if_granted(cx),
                 false => self.group_failed(cx),
             }
         }
     }
 
-    /// Runs it on the leader, once every member granted its part.
-    fn lead_if_granted(&mut self, cx: &mut Context<'_>) {
+    /// Generates on the leader once every member has granted its part.
+    fn generate_if_granted(&mut self, cx: &mut Context<'_>) {
         let Phase::Reserving(group) = &self.phase else {
             return;
         };
         if !group.members.iter().all(|member| member.granted) {
             return;
         }
-        if !cx.fleet.takes_work(group.leader) {
+        if !cx.fleet.accepts_work(group.leader) {
             self.group_failed(cx);
             return;
         }
@@ -128,14 +128,15 @@
         self.generate(leader, priority, Some(group), cx);
     }
 
-    /// A part was refused or not granted in time: lets go of all and tries again later.
+    /// Handles a part that was refused or not granted in time: releases all parts and schedules
+    /// another try.
     pub(crate) fn group_failed(&mut self, cx: &mut Context<'_>) {
         self.release_group(cx);
         self.end_attempt(Outcome::NotRun, cx);
         self.back_off(cx);
     }
 
-    /// Renews the members' parts while the leader runs.
+    /// Renews the parts while the leader runs.
     pub(crate) fn renew_group(&mut self, cx: &mut Context<'_>) {
         let due_ms = cx.now_ms + renewal_ms(cx);
         let Phase::Running(run) = &mut self.phase else {
@@ -149,7 +150,7 @@
         self.push_reserves(&group, cx);
     }
 
-    /// Lets go of the group's memory, where it has a group.
+    /// Releases the memory of the group, if there is one.
     pub(crate) fn release_group(&mut self, cx: &mut Context<'_>) {
         let group = match &mut self.phase {
             Phase::Reserving(group) => Some(group.clone()),
@@ -167,7 +168,7 @@
 }
 
 impl Member {
-    fn wanted(part: &GroupPart) -> Self {
+    fn requested(part: &GroupPart) -> Self {
         Self {
             part: *part,
             granted: false,
@@ -176,8 +177,8 @@
 }
 
 impl Group {
-    /// What the members hold together, without the leader.
-    pub(crate) fn lent_tokens(&self) -> Tokens {
+    /// Returns the sum of the members' parts, without the leader's.
+    pub(crate) fn member_tokens(&self) -> Tokens {
         let members = self.members.iter();
         let others = members.filter(|member| member.part.upstream != self.leader);
         others.map(|member| member.part.kv_tokens).sum()
@@ -185,7 +186,7 @@
 
     fn is_ready(&self, cx: &Context<'_>) -> bool {
         let mut members = self.members.iter();
-        members.all(|member| cx.fleet.takes_work(member.part.upstream))
+        members.all(|member| cx.fleet.accepts_work(member.part.upstream))
     }
 }
 
--- a/crates/requests/src/life/mod.rs
+++ b/crates/requests/src/request/mod.rs
@@ -1,17 +1,17 @@
-//! One request from admission to its last event: the data. The passes over it stand in the
-//! modules below, one for each part of its life; they are pure but for the ports in [`Context`]
-//! and leave what must be sent as [`Effect`]s.
+//! The state of one live request, from admission to its last event. The submodules implement the
+//! state transitions, one per stage of the request. A transition reads and changes only this state
+//! and the ports in [`Context`], and pushes what must be sent as [`Effect`]s.
 //!
-//! Terms: the *phase* is where the request is; the *reader* is its caller's connection, or the
-//! grace after it broke; a *link* numbers one call to an upstream, so that an answer to an earlier
-//! call can be told from one to the call awaited now; an *adopted* request was admitted by another
-//! node and is only read on here.
+//! Terms: the *phase* is the stage that the request is in. The *reader* is the caller's connection,
+//! or the grace period after it broke. A *link* is one call of the request to an upstream; its
+//! number distinguishes the answer to an earlier call from the answer that is awaited now. An
+//! *adopted* request was admitted by another node; this node only continues its stream.
 //!
 //! Invariants:
-//! - only events of this request and its present attempt reach the reader, in order, once each;
-//! - a request that may not be repeated is generated again only while [`Life::verdict`] is
-//!   `NotRun`;
-//! - the reader gets one last event, by the deadline.
+//! - Only events of this request and its current attempt reach the reader, in order and once each.
+//! - A request that may not be repeated is generated again only while [`LiveRequest::verdict`] is
+//!   `NotRun`.
+//! - The reader receives exactly one last event, by the deadline.
 
 pub mod begin;
 pub mod due;
@@ -46,121 +46,122 @@
 use rand_chacha::ChaCha8Rng;
 
 bluebell_base::define_id! {
-    /// A call of one request to an upstream, counted from 1.
+    /// The number of a link: one call of a request to an upstream, counted from 1.
     LinkNo(u32) = "link";
 }
 
-/// Takes the answer to a caller's wish to cancel.
+/// Receives the answer to a caller's cancel call.
 pub type CancelReply = Box<dyn FnOnce(Result<RequestReport, Error>) + Send>;
 
-/// One request.
-pub struct Life {
-    /// Its identity.
+/// One live request.
+pub struct LiveRequest {
+    /// The request's id.
     pub request: RequestId,
-    /// Whose it is.
+    /// The client account that sent it.
     pub account: AccountName,
-    /// The same as the retry budget counts it.
+    /// The same account under the id that the retry budget uses.
     pub payer: PayerId,
-    /// When it arrived.
+    /// The time of arrival.
     pub arrived_ms: MonoMs,
-    /// When it must have ended.
+    /// The time by which the request must have ended.
     pub deadline_ms: MonoMs,
-    /// The same for all requests that ask for the same; none for an adopted request.
+    /// The digest that is equal for all requests with the same content; `None` for an adopted
+    /// request.
     pub digest: Option<RequestDigest>,
-    /// Whether it may be run again after it may have run.
+    /// True if the request may be run again after it may have run.
     pub repeatable: bool,
-    /// Its claim, where it may not be repeated and has an idempotency key.
+    /// The claim of its idempotency key; `None` if the request may be repeated or has no key.
     pub claim: Option<ClaimCall>,
-    /// Whether its caller was told that it is admitted.
+    /// True if the caller was sent `Admitted`.
     pub admitted: bool,
-    /// Where it is.
+    /// The current phase.
     pub phase: Phase,
-    /// Who reads its answer.
+    /// The reader of the answer.
     pub reader: Reader,
-    /// The present or last attempt; 0 before the first.
+    /// The current or last attempt; 0 before the first.
     pub attempt: AttemptNo,
-    /// What is known of the attempts before the present one.
-    pub earlier: Verdict,
-    /// What is known of the present attempt.
-    pub present: Verdict,
+    /// The verdict on the attempts before the current one.
+    pub earlier_verdict: Verdict,
+    /// The verdict on the current attempt.
+    pub current_verdict: Verdict,
     /// The last link used.
     pub link: LinkNo,
-    /// What is to be done.
+    /// The work that the request asks for.
     pub work: Work,
     /// The engine or replica that it was last sent to.
-    pub sent_to: Option<UpstreamId>,
-    /// Callers that wait for its cancellation.
-    pub cancels: Vec<CancelReply>,
-    /// How often it went back to the policy with nothing run.
+    pub last_upstream: Option<UpstreamId>,
+    /// The callers that wait for its cancellation.
+    pub cancel_replies: Vec<CancelReply>,
+    /// The number of backoffs before another admission by the policy.
     pub requeues: u32,
-    /// How often it was taken back from engines.
+    /// The attempts that were recalled from engines.
     pub recalls: Recalls,
-    /// How it ended, once it has.
+    /// The outcome; `None` until the request has ended.
     pub ended: Option<Ended>,
-    /// The timer set for it; only the actor touches it.
-    pub alarm: Option<Alarm>,
+    /// The timer for the next due time; used only by the actor.
+    pub timer: Option<RequestTimer>,
 }
 
 /// A timer set for a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Alarm {
-    /// When it fires.
+pub struct RequestTimer {
+    /// The time at which it fires.
     pub at_ms: MonoMs,
-    /// To cancel it.
+    /// The handle that cancels it.
     pub subscription: Subscription,
 }
 
-/// Where a request is.
+/// The stage that a request is in.
 #[derive(Debug)]
 pub enum Phase {
-    /// Its idempotency key is being claimed.
+    /// The idempotency key is being claimed.
     Claiming {
-        /// When the claim is given up.
+        /// The time at which the claim is given up.
         until_ms: MonoMs,
     },
-    /// The policy has it and will decide.
+    /// The policy has admitted the request and decides where to send it.
     Queued,
-    /// It waits before it is handed to the policy again.
+    /// The request waits before it is submitted to the policy again.
     Backoff {
-        /// Until when.
+        /// The end of the wait.
         until_ms: MonoMs,
     },
     /// Memory for its group is being reserved.
     Reserving(Group),
-    /// An engine has it.
+    /// An engine has the request.
     Running(Run),
-    /// A plain service has it.
+    /// A replica of a plain service has the request.
     Exchanging {
         /// The replica.
         upstream: UpstreamId,
     },
-    /// The policy takes it back from its engine, whose word is awaited.
+    /// The policy recalled the request; the engine's answer to the cancel is awaited.
     Recalling {
-        /// Until when.
+        /// The time at which the answer is given up.
         until_ms: MonoMs,
         /// The engine.
         upstream: UpstreamId,
     },
-    /// Its caller cancelled it; the engine's word is awaited.
+    /// The caller cancelled the request; the engine's answer to the cancel is awaited.
     Cancelling {
-        /// Until when.
+        /// The time at which the answer is given up.
         until_ms: MonoMs,
         /// The engine.
         upstream: UpstreamId,
     },
-    /// It has ended.
+    /// The request has ended.
     Done,
 }
 
-/// What a request asks for.
+/// The work that a request asks for.
 pub enum Work {
     /// A model's answer.
     Answer(Box<Answer>),
-    /// A plain service's.
+    /// A call to a plain service.
     Exchange(Box<Exchange>),
 }
 
-/// A model's answer, as far as it has come.
+/// A model's answer, as far as it was received.
 pub struct Answer {
     /// The class of work.
     pub class: ClassName,
@@ -170,17 +171,17 @@
     pub prompt: Option<Arc<str>>,
     /// The prompt's size.
     pub prompt_bytes: Bytes,
-    /// The prompt's length by the engine, once it said so.
+    /// The prompt's length as counted by the engine; `None` until the engine reported it.
     pub prompt_tokens: Option<Tokens>,
-    /// The most tokens to generate.
+    /// The limit of tokens to generate.
     pub max_tokens: Tokens,
-    /// What the policy knows; none for an adopted request.
+    /// The job as submitted to the policy; `None` for an adopted request.
     pub job: Option<Job>,
     /// The position of the first of `tokens`; above 0 only for an adopted request.
     pub base: u64,
-    /// The token texts, in order, as they were given to the reader.
+    /// The token texts in order, as they were sent to the reader.
     pub tokens: Vec<Arc<str>>,
-    /// When the last of them came.
+    /// The time at which the last token was received.
     pub last_token_ms: Option<MonoMs>,
 }
 
@@ -188,45 +189,45 @@
 pub struct Exchange {
     /// The service.
     pub service: ServiceName,
-    /// The call; its body is given away with the last attempt.
+    /// The call, which is cloned for each attempt.
     pub call: ServiceCall,
-    /// Replicas that already failed it.
+    /// The replicas at which the call already failed.
     pub avoid: Vec<UpstreamId>,
 }
 
-/// Who reads an answer.
+/// The reader of an answer.
 pub enum Reader {
     /// A caller's connection.
     Attached {
         /// The connection.
         caller: CallerId,
-        /// Where events go.
+        /// The receiver of its events.
         sink: Box<dyn CallerSink>,
-        /// The first token wanted.
+        /// The position of the first token wanted.
         from: u64,
     },
-    /// Nobody; the request is cancelled unless somebody reads on.
+    /// No reader. The request is cancelled unless a caller resumes reading.
     Detached {
-        /// Until when.
+        /// The end of the grace period.
         until_ms: MonoMs,
     },
 }
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ended {
-    /// When.
+    /// The time of the end.
     pub at_ms: MonoMs,
     /// The last event; the body of a plain service's answer is not kept.
-    pub last: Last,
+    pub last: FinalEvent,
 }
 
-/// A request's last event.
+/// The last event of a request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Last {
-    /// A whole answer.
+pub enum FinalEvent {
+    /// A complete answer.
     Finished {
-        /// Why it ended.
+        /// The reason for the end: `stop` or `length`.
         reason: Arc<str>,
         /// The prompt's length.
         prompt_tokens: Tokens,
@@ -239,13 +240,13 @@
     Failed(Error),
 }
 
-/// What a pass may read, decide by and tell.
+/// The ports and shared state that a transition reads, changes and reports to.
 pub struct Context<'a> {
-    /// The instant of the step.
+    /// The time of this step.
     pub now_ms: MonoMs,
     /// This node's incarnation.
     pub owner: Incarnation,
-    /// The bounds.
+    /// The limits.
     pub settings: &'a RequestsSettings,
     /// The policy.
     pub policy: &'a mut dyn Policy,
@@ -253,27 +254,27 @@
     pub observer: &'a mut dyn RequestObserver,
     /// The retry budgets.
     pub budgets: &'a mut Budgets,
-    /// Signs cursors.
+    /// The signer of cursors.
     pub signer: &'a Signer,
-    /// The requests that end upstreams.
+    /// The requests under which upstreams crashed.
     pub quarantine: &'a mut Quarantine,
     /// The upstreams.
     pub fleet: &'a Fleet,
-    /// Bytes per token, by model.
+    /// The bytes per token, by model.
     pub lengths: &'a mut Lengths,
-    /// For jitter and reservation ids.
+    /// The random numbers for jitter and reservation ids.
     pub rng: &'a mut ChaCha8Rng,
-    /// What must be sent.
+    /// The effects to carry out after the step.
     pub out: &'a mut Vec<Effect>,
 }
 
-impl Life {
-    /// Whether the request may have run, as far as it is known now.
+impl LiveRequest {
+    /// Returns whether the request ran, as far as it is known now, over all attempts.
     pub fn verdict(&self) -> Verdict {
-        self.earlier.max(self.present)
+        self.earlier_verdict.max(self.current_verdict)
     }
 
-    /// The caller that reads it.
+    /// Returns the caller that reads the answer.
     pub fn reader_id(&self) -> Option<CallerId> {
         match &self.reader {
             Reader::Attached { caller, .. } => Some(*caller),
@@ -281,12 +282,12 @@
         }
     }
 
-    /// Whether it has ended.
+    /// Returns true if the request has ended.
     pub fn is_done(&self) -> bool {
         matches!(self.phase, Phase::Done)
     }
 
-    /// The model's answer, where it asks for one.
+    /// Returns the model's answer; `None` for a service call.
     pub fn answer(&self) -> Option<&Answer> {
         match &self.work {
             Work::Answer(answer) => Some(answer),
@@ -294,7 +295,7 @@
         }
     }
 
-    /// The model's answer, to change it.
+    /// Returns the model's answer for changes; `None` for a service call.
     pub fn answer_mut(&mut self) -> Option<&mut Answer> {
         match &mut self.work {
             Work::Answer(answer) => Some(answer),
@@ -302,12 +303,12 @@
         }
     }
 
-    /// Whether another node admitted it.
+    /// Returns true if another node admitted the request.
     pub fn is_adopted(&self) -> bool {
         self.answer().is_some_and(|answer| answer.job.is_none())
     }
 
-    /// The engine or replica that has it.
+    /// Returns the engine or replica that has the request now.
     pub fn upstream(&self) -> Option<UpstreamId> {
         match &self.phase {
             Phase::Running(run) => Some(run.upstream),
@@ -318,7 +319,7 @@
         }
     }
 
-    /// The bytes of the prompt or body that it holds.
+    /// Returns the size of the prompt or body that is held.
     pub fn held_bytes(&self) -> Bytes {
         Bytes(match &self.work {
             Work::Answer(answer) => answer
@@ -329,20 +330,20 @@
         })
     }
 
-    /// The metrics' labels of a model's answer.
+    /// Returns the metric labels; `None` for a service call.
     pub fn labels(&self) -> Option<(&ClassName, LengthBand)> {
         let answer = self.answer()?;
         Some((&answer.class, LengthBand::of(answer.estimated_tokens())))
     }
 
-    /// The next link.
+    /// Takes the number of the next link.
     pub(crate) fn next_link(&mut self) -> LinkNo {
         self.link = LinkNo(self.link.0 + 1);
         self.link
     }
 
-    /// Gives the reader an event; a reader known to be gone is let go.
-    pub(crate) fn tell(&mut self, event: CallerEvent, cx: &Context<'_>) {
+    /// Sends an event to the reader. Detaches a reader that is known to be gone.
+    pub(crate) fn send_to_reader(&mut self, event: CallerEvent, cx: &Context<'_>) {
         let Reader::Attached { sink, from, .. } = &self.reader else {
             return;
         };
@@ -354,10 +355,10 @@
         }
     }
 
-    /// What is known of it, for reports.
+    /// Returns the report of the request's state.
     pub fn report(&self, fleet: &Fleet) -> RequestReport {
         let state = match (&self.ended, &self.phase) {
-            (Some(ended), _) if matches!(ended.last, Last::Failed(_)) => RequestState::Failed,
+            (Some(ended), _) if matches!(ended.last, FinalEvent::Failed(_)) => RequestState::Failed,
             (Some(_), _) => RequestState::Finished,
             (
                 _,
@@ -368,7 +369,7 @@
             ) => RequestState::Running,
             _ => RequestState::Queued,
         };
-        let upstream = self.sent_to.and_then(|id| fleet.name(id)).cloned();
+        let upstream = self.last_upstream.and_then(|id| fleet.name(id)).cloned();
         RequestReport {
             request: self.request,
             account: self.account.clone(),
@@ -381,8 +382,9 @@
     }
 }
 
-impl Last {
-    /// The event that tells a reader; none for a plain service's answer, whose body is not kept.
+impl FinalEvent {
+    /// Returns the event as sent to a reader; `None` for a plain service's answer, whose body is
+    /// not kept.
     pub fn event(&self, request: RequestId) -> Option<CallerEvent> {
         match self {
             Self::Finished {
@@ -404,12 +406,12 @@
 }
 
 impl Answer {
-    /// The position of the next event wanted.
+    /// Returns the position of the next event to receive.
     pub fn next_seq(&self) -> u64 {
         self.base + self.tokens.len() as u64
     }
 
-    /// The prompt's length, by the engine or estimated.
+    /// Returns the prompt's length as counted by the engine, or the estimate before that.
     pub fn estimated_tokens(&self) -> Tokens {
         let estimated = self.job.as_ref().map(|job| job.prompt_tokens);
         self.prompt_tokens.or(estimated).unwrap_or_default()
--- a/crates/requests/src/life/read.rs
+++ b/crates/requests/src/request/read.rs
@@ -1,20 +1,22 @@
-//! Who reads: hang-ups, and reading on from an event.
+//! The reader: hang-ups, and callers that resume reading from an event.
 //!
-//! Invariants: one reader at a time; a reader that another one replaces gets its own last event.
+//! Invariants: a request has at most one reader. A reader that is replaced by another receives its
+//! own last event.
 
-use super::{Context, Life, Mode, Phase, Reader};
+use super::{Context, LiveRequest, Mode, Phase, Reader};
 use crate::call::{CallerEvent, CallerId, CallerSink};
 use crate::cursor::{Cursor, Signer};
 use bluebell_base::prelude::*;
 
-impl Life {
-    /// Its caller hung up: it goes on for a grace, in which the caller may read on.
+impl LiveRequest {
+    /// Handles a hang-up: the request continues for a grace period in which the caller may resume
+    /// reading.
     pub fn detach(&mut self, cx: &Context<'_>) {
         let until_ms = cx.now_ms + cx.settings.hang_up_grace_ms;
         self.reader = Reader::Detached { until_ms };
     }
 
-    /// A caller reads on from event `from`.
+    /// Attaches a caller that resumes reading from event `from`.
     pub fn attach(
         &mut self,
         caller: CallerId,
@@ -25,20 +27,21 @@
         self.replace_reader(cx);
         self.reader = Reader::Attached { caller, sink, from };
         let request = self.request;
-        self.tell(CallerEvent::Admitted { request }, cx);
+        self.send_to_reader(CallerEvent::Admitted { request }, cx);
         let Some(answer) = self.answer_mut() else {
             return;
         };
         if from < answer.base {
-            // An adopted answer is known here only from a later event on: the engine has it all.
+            // An adopted answer is known here only from a later event on; the engine has all of it.
             answer.base = from;
             answer.tokens.clear();
             self.resume(cx);
             return;
         }
         self.replay(from, cx);
-        let resting = matches!(&self.phase, Phase::Running(run) if run.mode == Mode::Resting);
-        if resting {
+        let awaiting_reader =
+            matches!(&self.phase, Phase::Running(run) if run.mode == Mode::AwaitingReader);
+        if awaiting_reader {
             self.resume(cx);
         }
     }
@@ -50,7 +53,7 @@
             ErrorKind::Cancelled,
             "another connection reads the answer on",
         );
-        self.tell(CallerEvent::Failed { request, error }, cx);
+        self.send_to_reader(CallerEvent::Failed { request, error }, cx);
     }
 
     fn replay(&mut self, from: u64, cx: &mut Context<'_>) {
@@ -73,31 +76,31 @@
         let texts: Vec<Arc<str>> = answer.tokens.iter().skip(skipped).cloned().collect();
         let first = base + skipped as u64;
         for event in token_events(&template, first, texts, cx.signer) {
-            self.tell(event, cx);
+            self.send_to_reader(event, cx);
         }
     }
 
     fn upstream_name(&self, cx: &Context<'_>) -> Option<UpstreamName> {
-        self.sent_to.and_then(|id| cx.fleet.name(id)).cloned()
+        self.last_upstream.and_then(|id| cx.fleet.name(id)).cloned()
     }
 
-    /// An engine is gone, or said to be.
+    /// Handles an engine that is gone, or reported as gone.
     pub fn on_engine_gone(&mut self, upstream: UpstreamId, cx: &mut Context<'_>) {
         match &mut self.phase {
             Phase::Running(run) if run.upstream == upstream => {
-                run.open = false;
-                self.on_fruitless(false, cx);
+                run.is_open = false;
+                self.on_failed_try(false, cx);
             }
             Phase::Recalling { upstream: from, .. } if *from == upstream => {
                 self.on_recall_unanswered(cx);
             }
-            Phase::Reserving(group) if group.names(upstream) => self.group_failed(cx),
+            Phase::Reserving(group) if group.contains(upstream) => self.group_failed(cx),
             _ => (),
         }
     }
 }
 
-/// The token events of `texts`, the first of them at position `first`.
+/// Returns the token events of `texts`, the first of them at position `first`.
 pub fn token_events(
     template: &Cursor,
     first: u64,
@@ -116,7 +119,7 @@
 }
 
 impl super::Group {
-    fn names(&self, upstream: UpstreamId) -> bool {
+    fn contains(&self, upstream: UpstreamId) -> bool {
         let mut members = self.members.iter();
         members.any(|member| member.part.upstream == upstream)
     }
--- a/crates/requests/src/life/stream.rs
+++ b/crates/requests/src/request/stream.rs
@@ -1,32 +1,32 @@
-//! The events of a stream: what reaches the reader, and what is dropped.
+//! The events of a stream: delivers them to the reader or drops them.
 //!
-//! Invariants: a token reaches the reader only as the next one in order; the answer is whole only
-//! where the engine's count equals what was delivered.
+//! Invariants: a token reaches the reader only if it is the next one in order. An answer is
+//! complete only if the engine's count equals the number of tokens delivered.
 
-use super::{Context, Life, LinkNo, Phase};
+use super::{Context, LinkNo, LiveRequest, Phase};
 use crate::call::CallerEvent;
 use crate::cursor::Cursor;
 use bluebell_base::prelude::*;
 use bluebell_upstreams::{Event, EventBody, FinishReason, LoadReport};
 
-impl Life {
-    /// An event came on `link`.
+impl LiveRequest {
+    /// Handles an event that arrived on `link`.
     pub fn on_event(&mut self, link: LinkNo, event: Event, cx: &mut Context<'_>) {
-        let named = event.request == self.request && event.attempt == self.attempt;
+        let matches = event.request == self.request && event.attempt == self.attempt;
         let Phase::Running(run) = &mut self.phase else {
             cx.observer.dropped_event();
             return;
         };
-        // A late or crossed answer: it belongs to another request, or to an attempt that was given
-        // up. It shows by the identity that each event carries, or by coming on a link that was
-        // opened for an earlier attempt, whatever it says of itself; it never reaches the reader.
-        if !named || link < run.first_link {
+        // A late or crossed event belongs to another request or to an attempt that was given up. It
+        // is recognized by the identity that it carries, or because its link was opened for an
+        // earlier attempt, whatever identity it carries. It never reaches the reader.
+        if !matches || link < run.first_link {
             cx.observer.dropped_event();
             return;
         }
-        let current = link == run.stream;
+        let current = link == run.stream_link;
         if let EventBody::Failed { error } = event.body {
-            // An earlier link breaking says nothing of the present one.
+            // The failure of an earlier link says nothing about the current one.
             if current {
                 self.on_break(link, error, cx);
             } else {
@@ -34,15 +34,15 @@
             }
             return;
         }
-        run.heard_ms = cx.now_ms;
-        run.heard |= current;
+        run.last_received_ms = cx.now_ms;
+        run.received |= current;
         match event.body {
             EventBody::Accepted {
                 prompt_tokens,
                 cached_tokens,
                 load,
             } => {
-                self.tell_accepted(link, cached_tokens, &load, cx);
+                self.report_acceptance(link, cached_tokens, &load, cx);
                 self.on_accepted(prompt_tokens, cx);
             }
             EventBody::Token { seq, text } => self.on_token(link, seq, text, cx),
@@ -55,12 +55,12 @@
         }
     }
 
-    /// Tells the policy of the engine's load.
+    /// Reports the engine's load to the policy.
     ///
-    /// Only the first acceptance, on the link of the `generate` call, is told as one: its load is
-    /// what the work found ahead of itself. One that a resume brings, or that comes behind a
-    /// token, is old by then, and recalling by it would throw work away that has begun.
-    fn tell_accepted(
+    /// Only the first acceptance, on the link of the `generate` call, is reported as one: its load
+    /// is the work ahead of this request. An acceptance after a resume or after a token is out of
+    /// date by then, and a recall based on it would discard work that has begun.
+    fn report_acceptance(
         &self,
         link: LinkNo,
         cached_tokens: Tokens,
@@ -70,7 +70,7 @@
         let Phase::Running(run) = &self.phase else {
             return;
         };
-        let first = !run.accepted && run.generated == Some(link);
+        let first = !run.accepted && run.generate_link == Some(link);
         if first && !self.is_adopted() {
             cx.policy
                 .on_accepted(self.request, cached_tokens, load, cx.now_ms);
@@ -95,7 +95,7 @@
         cx.lengths
             .learn(&answer.model, answer.prompt_bytes, prompt_tokens);
         if !repeatable {
-            // It will never be sent again, so nobody needs the prompt any more.
+            // The request will never be sent again, so the prompt is no longer needed.
             answer.prompt = None;
         }
     }
@@ -105,7 +105,7 @@
             return;
         };
         if seq.0 < next {
-            // Delivered already: the engine sent it twice, or an older link catches up.
+            // Already delivered: the engine sent it twice, or an older link is catching up.
             cx.observer.dropped_event();
             return;
         }
@@ -118,9 +118,9 @@
     }
 
     fn deliver(&mut self, seq: EventSeq, text: Arc<str>, cx: &mut Context<'_>) {
-        self.present = Verdict::Ran;
+        self.current_verdict = Verdict::Ran;
         self.observe_token(cx);
-        let quiet_ms = match self.is_adopted() {
+        let silence_limit_ms = match self.is_adopted() {
             true => cx.settings.adopted_stall_ms(),
             false => cx.settings.stall_ms,
         };
@@ -128,9 +128,9 @@
             return;
         };
         run.accepted = true;
-        run.tries = 0;
-        run.breaks = 0;
-        run.quiet_ms = quiet_ms;
+        run.failed_tries = 0;
+        run.idle_breaks = 0;
+        run.silence_limit_ms = silence_limit_ms;
         let upstream = run.upstream;
         let Some(name) = cx.fleet.name(upstream) else {
             return;
@@ -147,7 +147,7 @@
         };
         answer.tokens.push(text.clone());
         answer.last_token_ms = Some(cx.now_ms);
-        self.tell(CallerEvent::Token { seq, text, cursor }, cx);
+        self.send_to_reader(CallerEvent::Token { seq, text, cursor }, cx);
     }
 
     fn observe_token(&self, cx: &mut Context<'_>) {
@@ -167,14 +167,14 @@
                 cx.observer.between_tokens(class, band, gap_ms);
             }
         }
-        // Each attempt has a first token of its own to the policy, which learns engine speeds.
-        if self.present_first_token() {
+        // The policy learns engine speeds and counts a first token for each attempt.
+        if self.is_first_token_of_attempt() {
             cx.policy.on_first_token(self.request, cx.now_ms);
         }
     }
 
-    /// Whether the token being delivered is the first of the present attempt.
-    fn present_first_token(&self) -> bool {
+    /// Returns true if the token being delivered is the first of the current attempt.
+    fn is_first_token_of_attempt(&self) -> bool {
         let Phase::Running(run) = &self.phase else {
             return false;
         };
@@ -196,12 +196,12 @@
         cx.policy.on_load(run.upstream, load, cx.now_ms);
         let next = self.answer().map_or(0, |answer| answer.next_seq());
         if count > next {
-            // Truncated: events before the end are missing, so the answer isn't whole yet.
+            // Truncated: events before the end are missing, so the answer is not complete yet.
             cx.observer.dropped_event();
             self.on_gap(link, cx);
             return;
         }
-        self.present = Verdict::Ran;
+        self.current_verdict = Verdict::Ran;
         if count < next {
             let error = Error::ran(ErrorKind::Upstream, "the engine's count of events is wrong");
             self.fail(error, cx);
--- a/crates/requests/src/settings/mod.rs
+++ b/crates/requests/src/settings/mod.rs
@@ -1,56 +1,58 @@
-//! The bounds that the requests keep to, with their defaults.
+//! The limits and timeouts of a node's requests, with their defaults.
 
 use bluebell_base::prelude::*;
 
-/// The bounds of one node's requests.
+/// The limits and timeouts of one node's requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestsSettings {
-    /// How long a request whose caller hung up is kept, so that the caller can read on.
+    /// The time for which a request is kept after its caller hung up, so that the caller can resume
+    /// reading.
     ///
     /// Half of it must be longer than a few exchanges with an engine, so that another node that
-    /// reads the answer on has taken the stream back before this node's cancel.
+    /// continues the answer takes the stream back before this node's cancel.
     pub hang_up_grace_ms: SpanMs,
-    /// Silence on a stream after which the engine is asked what it knows.
+    /// The silence on a stream after which the engine is queried for its state.
     pub stall_ms: SpanMs,
-    /// The longest pause between two such questions while the engine says it is at work.
+    /// The longest interval between two such queries while the engine reports that it is working.
     pub stall_max_ms: SpanMs,
-    /// How long an answer to a lookup, claim, cancel or reservation is awaited.
+    /// The timeout for the answer to a lookup, peer query, cancel or reservation.
     pub answer_wait_ms: SpanMs,
-    /// How long the answer to a recall's cancel is awaited before the work goes elsewhere.
+    /// The timeout for the answer to a recall's cancel, after which the work goes elsewhere.
     pub recall_wait_ms: SpanMs,
-    /// How long a claim's answer is awaited.
+    /// The timeout for the answer to a claim.
     pub claim_wait_ms: SpanMs,
-    /// The pause before the first try to resume a broken stream; it doubles with each.
+    /// The pause before the first try to resume a broken stream; it doubles with each try.
     pub backoff_ms: SpanMs,
     /// The longest such pause.
     pub backoff_max_ms: SpanMs,
-    /// Tries to resume on the same engine before repeatable work goes elsewhere.
+    /// The number of tries to resume on the same engine before repeatable work goes elsewhere.
     pub resume_tries: u32,
-    /// Tries to resume or look up before work that may not be repeated is given up.
+    /// The number of tries to resume or look up before work that may not be repeated is given up.
     pub lookup_tries: u32,
-    /// Attempts a request may have in all.
+    /// The limit of attempts for one request.
     pub attempts: u32,
-    /// How long an engine keeps a stream that nobody reads, and a group's reservation.
+    /// The time for which an engine keeps a stream that nobody reads, and a group's reservation.
     pub hold_ms: SpanMs,
-    /// Tries to cancel or release upstream before the hold is left to its expiry.
-    pub chore_tries: u32,
-    /// Retries earned with each admitted request, by its account and by the node.
+    /// The number of tries to cancel or release upstream, after which the hold is left to its
+    /// expiry.
+    pub cleanup_tries: u32,
+    /// The retries that each admitted request earns, for its account and for the node.
     pub retry_share: f64,
-    /// Retries an account may have saved up.
+    /// The limit of saved retries of one account.
     pub retry_account_burst: f64,
-    /// Retries the node may have saved up.
+    /// The limit of saved retries of the node.
     pub retry_node_burst: f64,
-    /// When a caller refused for a passing reason is told to come back.
+    /// The retry delay sent to a caller that was refused for a temporary reason.
     pub retry_after_ms: SpanMs,
-    /// Live requests this node takes at most.
+    /// The limit of live requests on this node.
     pub live_count: usize,
-    /// Bytes of prompts and bodies that live requests may hold together.
+    /// The limit of the bytes of prompts and bodies that live requests hold together.
     pub live_bytes: Bytes,
-    /// Ended requests kept for reports and reading on.
+    /// The limit of ended requests kept for reports and resumed reading.
     pub finished_count: usize,
-    /// Bytes of answers kept with them.
+    /// The limit of the bytes of answers kept with them.
     pub finished_bytes: Bytes,
-    /// How long they are kept.
+    /// The time for which they are kept.
     pub finished_keep_ms: SpanMs,
 }
 
@@ -69,7 +71,7 @@
             lookup_tries: 10,
             attempts: 4,
             hold_ms: SpanMs::from_secs(15),
-            chore_tries: 8,
+            cleanup_tries: 8,
             retry_share: 0.1,
             retry_account_burst: 5.0,
             retry_node_burst: 20.0,
@@ -84,13 +86,14 @@
 }
 
 impl RequestsSettings {
-    /// The silence after which a node that adopted a stream takes it (back): less than the grace
-    /// of the node that admitted it, so that it is the owner again before that one's cancel.
+    /// Returns the silence after which a node that adopted a stream resumes it. It is shorter than
+    /// the grace period of the node that admitted the request, so this node is the owner again
+    /// before that node's cancel.
     pub fn adopted_stall_ms(&self) -> SpanMs {
         self.stall_ms.min(SpanMs(self.hang_up_grace_ms.0 / 2))
     }
 
-    /// The pause before try number `tries` (counted from 0), without jitter.
+    /// Returns the pause before try number `tries`, counted from 0, without jitter.
     pub fn backoff(&self, tries: u32) -> SpanMs {
         let doubled = self.backoff_ms.0.saturating_mul(1 << tries.min(16));
         SpanMs(doubled.min(self.backoff_max_ms.0))
--- a/crates/requests/src/verify/mod.rs
+++ b/crates/requests/src/verify/mod.rs
@@ -1,37 +1,46 @@
-//! Re-checks the invariants of a node's requests; runs in tests after each step.
+//! Re-checks the invariants of a node's requests; in tests this runs after each step.
 
-use crate::life::{Life, Mode, Phase, Reader, Work};
+use crate::request::{LiveRequest, Mode, Phase, Reader, Work};
 use crate::table::Table;
 use bluebell_base::prelude::*;
 
-/// A broken invariant, for a person.
-pub type Broken = Arc<str>;
+/// The description of a broken invariant.
+pub type BrokenInvariant = Arc<str>;
 
 /// Checks the table of live requests.
 ///
 /// # Errors
-/// The first broken invariant found.
-pub fn table(table: &Table, owner: Incarnation, now_ms: MonoMs) -> Result<(), Broken> {
-    for (id, life) in table.iter() {
-        let broken = |what: &str| Err(Broken::from(format!("{id} {}: {what}", life.request)));
-        if table.find(life.request) != Some(id) {
-            return broken("isn't found by its request");
+/// Returns the first broken invariant.
+pub fn check_table(
+    table: &Table,
+    owner: Incarnation,
+    now_ms: MonoMs,
+) -> Result<(), BrokenInvariant> {
+    for (id, live) in table.iter() {
+        let broken = |what: &str| {
+            Err(BrokenInvariant::from(format!(
+                "{id} {}: {what}",
+                live.request
+            )))
+        };
+        if table.find(live.request) != Some(id) {
+            return broken("is not indexed under its request id");
         }
-        if let Some(caller) = life.reader_id()
+        if let Some(caller) = live.reader_id()
             && table.find_caller(caller) != Some(id)
         {
-            return broken("isn't found by its caller");
+            return broken("is not indexed under its caller");
         }
-        if let Err(what) = one(life, owner, now_ms) {
+        if let Err(what) = check_request(live, owner, now_ms) {
             return broken(what);
         }
     }
-    let held: Bytes = table.iter().map(|(_, life)| life.held_bytes()).sum();
+    let held: Bytes = table.iter().map(|(_, live)| live.held_bytes()).sum();
     if held != table.held_bytes() {
         return Err(format!("{held} of prompts are held, {} counted", table.held_bytes()).into());
     }
     for (caller, id) in table.callers() {
-        let reads = table.get(id).and_then(Life::reader_id) == Some(caller);
+        let reads = table.get(id).and_then(LiveRequest::reader_id) == Some(caller);
         if !reads {
             return Err(format!("{caller} is indexed but reads nothing").into());
         }
@@ -40,83 +49,89 @@
 }
 
 /// Checks one live request between two messages.
-fn one(life: &Life, owner: Incarnation, now_ms: MonoMs) -> Result<(), &'static str> {
-    if life.is_done() || life.ended.is_some() {
+fn check_request(
+    live: &LiveRequest,
+    owner: Incarnation,
+    now_ms: MonoMs,
+) -> Result<(), &'static str> {
+    if live.is_done() || live.ended.is_some() {
         return Err("has ended but is in the table");
     }
-    let Some(alarm) = life.alarm else {
+    let Some(timer) = live.timer else {
         return Err("has no timer");
     };
-    if alarm.at_ms > life.next_due_ms() {
+    if timer.at_ms > live.next_due_ms() {
         return Err("its timer is later than what is due");
     }
-    if alarm.at_ms > life.deadline_ms {
+    if timer.at_ms > live.deadline_ms {
         return Err("its timer is later than its deadline");
     }
-    if life.is_adopted() == (life.request.incarnation == owner) && life.answer().is_some() {
-        return Err("is adopted from this very node, or not adopted from another");
+    if live.is_adopted() == (live.request.incarnation == owner) && live.answer().is_some() {
+        return Err(
+            "is adopted although this node admitted it, or not adopted although another node did",
+        );
     }
-    work(life)?;
-    phase(life, now_ms)
+    check_work(live)?;
+    check_phase(live, now_ms)
 }
 
-fn work(life: &Life) -> Result<(), &'static str> {
-    match &life.work {
+fn check_work(live: &LiveRequest) -> Result<(), &'static str> {
+    match &live.work {
         Work::Answer(answer) => {
             if answer.base > 0 && answer.job.is_some() {
-                return Err("its answer does not begin at the beginning");
+                return Err("its answer does not start at position 0");
             }
-            if !answer.tokens.is_empty() && life.verdict() == Verdict::NotRun {
-                return Err("has tokens but is said not to have run");
+            if !answer.tokens.is_empty() && live.verdict() == Verdict::NotRun {
+                return Err("has tokens but its verdict is not run");
             }
             let may_need = answer.job.is_some()
-                && (life.repeatable || life.verdict() == Verdict::NotRun)
-                && !matches!(life.phase, Phase::Cancelling { .. });
+                && (live.repeatable || live.verdict() == Verdict::NotRun)
+                && !matches!(live.phase, Phase::Cancelling { .. });
             if may_need && answer.prompt.is_none() {
-                return Err("its prompt is gone but may be needed");
+                return Err("its prompt was dropped but may be needed");
             }
         }
         Work::Exchange(_) => {
-            if matches!(life.phase, Phase::Running(_) | Phase::Queued) {
-                return Err("is a service call but is with engines");
+            if matches!(live.phase, Phase::Running(_) | Phase::Queued) {
+                return Err("is a service call but is queued or running on an engine");
             }
         }
     }
     Ok(())
 }
 
-fn phase(life: &Life, now_ms: MonoMs) -> Result<(), &'static str> {
+fn check_phase(live: &LiveRequest, now_ms: MonoMs) -> Result<(), &'static str> {
     let waiting = matches!(
-        life.phase,
+        live.phase,
         Phase::Claiming { .. } | Phase::Queued | Phase::Backoff { .. } | Phase::Reserving(_)
     );
-    if waiting && !life.repeatable && life.verdict() != Verdict::NotRun {
+    if waiting && !live.repeatable && live.verdict() != Verdict::NotRun {
         return Err("may not be repeated, may have run, and waits to run");
     }
-    match &life.phase {
-        Phase::Claiming { .. } if life.claim.is_none() => Err("claims nothing"),
-        Phase::Claiming { .. } if life.attempt.0 > 0 => Err("claims after an attempt"),
+    match &live.phase {
+        Phase::Claiming { .. } if live.claim.is_none() => Err("is claiming but has no claim"),
+        Phase::Claiming { .. } if live.attempt.0 > 0 => Err("is claiming after an attempt"),
         Phase::Running(run) => {
-            if life.present == Verdict::NotRun {
-                return Err("runs but is said not to have run");
+            if live.current_verdict == Verdict::NotRun {
+                return Err("is running but its verdict is not run");
             }
-            if run.stream > life.link {
+            if run.stream_link > live.link {
                 return Err("reads a link that was never opened");
             }
-            if run.mode == Mode::Reading && !run.open {
+            if run.mode == Mode::Reading && !run.is_open {
                 return Err("waits for events of a broken link");
             }
             Ok(())
         }
-        Phase::Recalling { .. } if !life.repeatable || life.is_adopted() => {
+        Phase::Recalling { .. } if !live.repeatable || live.is_adopted() => {
             Err("is recalled but may not be repeated or belongs to another node")
         }
-        Phase::Recalling { .. } if life.present != Verdict::MayHaveRun => {
-            Err("is recalled but its attempt is not in doubt")
+        Phase::Recalling { .. } if live.current_verdict != Verdict::MayHaveRun => {
+            Err("is recalled but the verdict on its attempt is certain")
         }
         Phase::Done => Err("is done but in the table"),
-        _ => match &life.reader {
-            Reader::Detached { until_ms } if *until_ms > now_ms + MAX_GRACE => {
+        _ => match &live.reader {
+            Reader::Detached { until_ms } if *until_ms > now_ms + MAX_GRACE_MS => {
                 Err("is kept without a reader for too long")
             }
             _ => Ok(()),
@@ -124,5 +139,5 @@
     }
 }
 
-/// No grace is longer.
-const MAX_GRACE: SpanMs = SpanMs::from_secs(24 * 3600);
+/// The upper limit of any grace period.
+const MAX_GRACE_MS: SpanMs = SpanMs::from_secs(24 * 3600);
--- a/crates/requests/tests/bounds.rs
+++ b/crates/requests/tests/bounds.rs
@@ -134,13 +134,16 @@
     let (_, told) = world.complete(0, call("draft", "a draft", 80));
     world.run_for(300);
     world.engines[0].clone().kill(&mut world.stakker);
-    world.nodes[0].engine_gone(common::card(0).name);
+    world.nodes[0].engine_gone(common::engine_description(0).name);
     let (_, new) = world.complete(0, call("draft", "another draft", 80));
     world.run_for(3_000);
     let error = new.error().expect("new work is sent away at once");
     assert_eq!(error.verdict, Verdict::NotRun);
     world.engines[0].restart();
-    world.nodes[0].engine_live(common::card(0), Rc::new(world.engines[0].clone()));
+    world.nodes[0].engine_live(
+        common::engine_description(0),
+        Rc::new(world.engines[0].clone()),
+    );
     world.run_for(8_000);
     assert!(told.is_finished(), "{}", told.brief());
     told.check("a draft", 80, 0);
--- a/crates/requests/tests/chaos.rs
+++ b/crates/requests/tests/chaos.rs
@@ -9,7 +9,7 @@
 use bluebell_requests::RequestsSettings;
 use bluebell_requests::call::{CallerCall, CallerId, Completion};
 use common::engine::{Faults, KV_TOKENS};
-use common::{Told, World, call, card, keyed};
+use common::{Told, World, call, engine_description, keyed};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, HashMap};
@@ -217,8 +217,8 @@
         for node in &self.world.nodes {
             let port = Rc::new(self.world.engines[engine].clone());
             match live {
-                true => node.engine_live(card(engine), port),
-                false => node.engine_gone(card(engine).name),
+                true => node.engine_live(engine_description(engine), port),
+                false => node.engine_gone(engine_description(engine).name),
             }
         }
     }
--- a/crates/requests/tests/common/engine/mod.rs
+++ b/crates/requests/tests/common/engine/mod.rs
@@ -80,7 +80,7 @@
     pub reserved: HashMap<ReservationId, (u64, Tokens)>,
     streams: HashMap<RequestId, Stream>,
     tombstones: HashMap<RequestId, AttemptNo>,
-    life: u64,
+    live: u64,
     held_back: Vec<HeldBack>,
     readers: u64,
     rng: ChaCha8Rng,
@@ -125,7 +125,7 @@
             reserved: HashMap::new(),
             streams: HashMap::new(),
             tombstones: HashMap::new(),
-            life: 0,
+            live: 0,
             held_back: Vec::new(),
             readers: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -139,7 +139,7 @@
         let streams = {
             let mut state = self.state.borrow_mut();
             state.dead = true;
-            state.life += 1;
+            state.live += 1;
             state.held_back.clear();
             state.tombstones.clear();
             state.reserved.clear();
--- a/crates/requests/tests/common/engine/streams.rs
+++ b/crates/requests/tests/common/engine/streams.rs
@@ -55,8 +55,8 @@
         };
         self.read(core, id.0, 0, events);
         if fresh {
-            let life = self.state.borrow().life;
-            self.after(core, STEP_MS, move |e, core| e.step(core, id.0, id.1, life));
+            let live = self.state.borrow().live;
+            self.after(core, STEP_MS, move |e, core| e.step(core, id.0, id.1, live));
         }
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// Produces one token of a stream, or ends it.
-    pub(super) fn step(&self, core: &mut Core, request: RequestId, attempt: AttemptNo, life: u64) {
+    pub(super) fn step(&self, core: &mut Core, request: RequestId, attempt: AttemptNo, live: u64) {
         let now_ms = self.now_ms(core);
         let stopped = {
             let state = self.state.borrow();
@@ -106,7 +106,7 @@
         };
         if stopped {
             self.after(core, STEP_MS, move |e, core| {
-                e.step(core, request, attempt, life)
+                e.step(core, request, attempt, live)
             });
             return;
         }
@@ -115,7 +115,7 @@
         }
         let sent = {
             let mut state = self.state.borrow_mut();
-            if state.life != life {
+            if state.live != live {
                 return;
             }
             let Some(stream) = state.streams.get_mut(&request) else {
@@ -145,7 +145,7 @@
             self.deliver(core, &fwd, &call, body);
         }
         self.after(core, STEP_MS, move |e, core| {
-            e.step(core, request, attempt, life)
+            e.step(core, request, attempt, live)
         });
     }
 
@@ -193,8 +193,8 @@
             return CancelAnswer::NotOwner;
         }
         stream.reader = None;
-        let waits = queued && stream.ended.is_none();
-        if waits && stream.produced == stream.call.continue_from.len() as u64 {
+        let is_queued = queued && stream.ended.is_none();
+        if is_queued && stream.produced == stream.call.continue_from.len() as u64 {
             let error = Error::not_run(ErrorKind::Cancelled, "cancelled");
             stream.ended = Some(Err(error));
             *state.runs.entry(request).or_default() -= 1;
--- a/crates/requests/tests/common/mod.rs
+++ b/crates/requests/tests/common/mod.rs
@@ -107,7 +107,7 @@
             handle.check_each_step();
             handle.set_config(ConfigVersion(1), config.clone());
             for (index, engine) in engines.iter().enumerate() {
-                handle.engine_live(card(index), Rc::new(engine.clone()));
+                handle.engine_live(engine_description(index), Rc::new(engine.clone()));
             }
             peers.nodes.borrow_mut().insert(incarnation, handle.clone());
             handles.push(handle);
@@ -231,7 +231,7 @@
     }
 }
 
-pub fn card(index: usize) -> EngineDescription {
+pub fn engine_description(index: usize) -> EngineDescription {
     EngineDescription {
         name: format!("engine-{index}").as_str().into(),
         domain: "galway-a".into(),
--- a/crates/requests/tests/groups.rs
+++ b/crates/requests/tests/groups.rs
@@ -6,7 +6,7 @@
 use bluebell_requests::RequestsSettings;
 use bluebell_stand_ins::engine::{EngineSettings, FakeEngine};
 use common::engine::KV_TOKENS;
-use common::{Told, World, call, card};
+use common::{Told, World, call, engine_description};
 
 fn world_of(engines: usize, seed: u64) -> (World, Vec<FakeEngine>) {
     world_with(engines, seed, RequestsSettings::default())
@@ -22,7 +22,7 @@
     let fakes: Vec<FakeEngine> = (0..engines).map(open).collect();
     for node in &world.nodes {
         for (index, fake) in fakes.iter().enumerate() {
-            node.engine_live(card(index), fake.port());
+            node.engine_live(engine_description(index), fake.port());
         }
     }
     (world, fakes)
--- a/crates/requests/tests/links.rs
+++ b/crates/requests/tests/links.rs
@@ -10,8 +10,8 @@
 use bluebell_requests::cursor::Signer;
 use bluebell_requests::fleet::Fleet;
 use bluebell_requests::lengths::Lengths;
-use bluebell_requests::life::{
-    Context, Effect, Exchange, Life, LinkNo, Phase, Reader, Recalls, Work,
+use bluebell_requests::request::{
+    Context, Effect, Exchange, LinkNo, LiveRequest, Phase, Reader, Recalls, Work,
 };
 use bluebell_requests::{NoObserver, RequestsSettings};
 use bluebell_upstreams::{ServiceAnswer, ServiceCall};
@@ -35,7 +35,7 @@
 }
 
 /// A call whose second try is under way.
-fn life_at_second_try(told: &Told) -> Life {
+fn life_at_second_try(told: &Told) -> LiveRequest {
     let request = RequestId {
         incarnation: Incarnation(1),
         sequence: 1,
@@ -45,7 +45,7 @@
         call: call(request),
         avoid: Vec::new(),
     };
-    Life {
+    LiveRequest {
         request,
         account: "parish".into(),
         payer: PayerId(0),
@@ -62,16 +62,16 @@
             from: 0,
         },
         attempt: AttemptNo(2),
-        earlier: Verdict::MayHaveRun,
-        present: Verdict::MayHaveRun,
+        earlier_verdict: Verdict::MayHaveRun,
+        current_verdict: Verdict::MayHaveRun,
         link: LinkNo(2),
         work: Work::Exchange(Box::new(exchange)),
-        sent_to: Some(UPSTREAM),
-        cancels: Vec::new(),
+        last_upstream: Some(UPSTREAM),
+        cancel_replies: Vec::new(),
         requeues: 0,
         recalls: Recalls::default(),
         ended: None,
-        alarm: None,
+        timer: None,
     }
 }
 
@@ -99,7 +99,7 @@
         out: &mut out,
     };
     let told = Told::new(Arc::new(AtomicU64::new(0)));
-    let mut life = life_at_second_try(&told);
+    let mut live = life_at_second_try(&told);
     let answer = |status| {
         Some(Ok(ServiceAnswer {
             status,
@@ -107,10 +107,10 @@
             body: Vec::new(),
         }))
     };
-    life.on_exchanged(LinkNo(1), answer(500), &mut context);
-    assert!(!life.is_done(), "the awaited answer hasn't come");
+    live.on_exchanged(LinkNo(1), answer(500), &mut context);
+    assert!(!live.is_done(), "the awaited answer hasn't come");
     assert!(told.all().is_empty(), "{}", told.brief());
-    life.on_exchanged(LinkNo(2), answer(200), &mut context);
-    assert!(life.is_done());
+    live.on_exchanged(LinkNo(2), answer(200), &mut context);
+    assert!(live.is_done());
     assert_eq!(told.all().len(), 1, "{}", told.brief());
 }
--- a/crates/requests/tests/reading.rs
+++ b/crates/requests/tests/reading.rs
@@ -46,10 +46,10 @@
         let request = told.request().expect("admitted");
         world.gone(0, caller);
         world.run_for(500);
-        let rest = world.resume_answer(node, "parish", request, told.last_cursor());
+        let resumed = world.resume_answer(node, "parish", request, told.last_cursor());
         world.run_for(6_000);
-        rest.check(PROMPT, MAX, seen(&told));
-        assert!(rest.is_finished(), "node {node}: {}", rest.brief());
+        resumed.check(PROMPT, MAX, seen(&told));
+        assert!(resumed.is_finished(), "node {node}: {}", resumed.brief());
         assert_eq!(world.runs(request), 1);
         assert_eq!(world.held(), 0);
     }
@@ -65,7 +65,7 @@
         let (mut world, caller, told) = under_way(2, 1_000);
         let request = told.request().expect("admitted");
         let engine = world.engines[world.engine_of(request)].clone();
-        let rest = world.resume_answer(1, "parish", request, told.last_cursor());
+        let resumed = world.resume_answer(1, "parish", request, told.last_cursor());
         world.run_for(20);
         engine.freeze_steps(prefill);
         world.run_for(2_500);
@@ -74,8 +74,8 @@
         world.run_for(4_000);
         engine.freeze_steps(false);
         world.run_for(8_000);
-        rest.check(PROMPT, MAX, 47);
-        assert!(rest.is_finished(), "{before} {}", rest.brief());
+        resumed.check(PROMPT, MAX, 47);
+        assert!(resumed.is_finished(), "{before} {}", resumed.brief());
         assert_eq!(world.runs(request), 1);
     }
 }
@@ -87,10 +87,10 @@
     let request = told.request().expect("admitted");
     world.kill_node(0);
     world.run_for(1_000);
-    let rest = world.resume_answer(0, "parish", request, told.last_cursor());
+    let resumed = world.resume_answer(0, "parish", request, told.last_cursor());
     world.run_for(6_000);
-    rest.check(PROMPT, MAX, seen(&told));
-    assert!(rest.is_finished(), "{}", rest.brief());
+    resumed.check(PROMPT, MAX, seen(&told));
+    assert!(resumed.is_finished(), "{}", resumed.brief());
     assert_eq!(world.runs(request), 1);
 }
 
@@ -109,10 +109,10 @@
         .kill(&mut world.stakker);
     world.run_for(1_500);
     world.gone(0, caller);
-    let rest = world.resume_answer(1, "parish", request, cursor);
+    let resumed = world.resume_answer(1, "parish", request, cursor);
     world.run_for(12_000);
-    rest.check(PROMPT, MAX, before);
-    assert!(rest.is_finished(), "{}", rest.brief());
+    resumed.check(PROMPT, MAX, before);
+    assert!(resumed.is_finished(), "{}", resumed.brief());
     assert_eq!(world.runs(request), 2);
 }
 
--- a/crates/requests/tests/recall.rs
+++ b/crates/requests/tests/recall.rs
@@ -208,7 +208,7 @@
             hit.kill(&mut world.stakker);
             hit.restart();
         }
-        Fault::Gone => world.nodes[0].engine_gone(common::card(engine).name),
+        Fault::Gone => world.nodes[0].engine_gone(common::engine_description(engine).name),
         Fault::HangUp => world.gone(0, caller),
         Fault::Cancel | Fault::CancelNotRun => {
             let request = told.request().expect("admitted");
--- a/crates/requests/tests/recall_guards.rs
+++ b/crates/requests/tests/recall_guards.rs
@@ -17,7 +17,7 @@
 const PROMPT: &str = "an answer of some length";
 const MAX_TOKENS: u64 = 80;
 /// The most recalls of one request.
-const MOST_RECALLS: u32 = 16;
+const MAX_RECALLS: u32 = 16;
 
 /// When the policy wants work back.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -138,8 +138,8 @@
     let (mut world, accepted) = world(Wants::Accepted);
     let (_, told) = world.complete(0, call("draft", PROMPT, MAX_TOKENS));
     world.run_for(500);
-    assert_eq!(world.counts.recalls.get(), MOST_RECALLS);
-    assert_eq!(accepted.get(), MOST_RECALLS + 1);
+    assert_eq!(world.counts.recalls.get(), MAX_RECALLS);
+    assert_eq!(accepted.get(), MAX_RECALLS + 1);
     assert_eq!(world.counts.retries.get(), 0);
     assert!(!told.texts().is_empty(), "{}", told.brief());
     let engine = world.engines[0].clone();
--- a/crates/requests/tests/waiting.rs
+++ b/crates/requests/tests/waiting.rs
@@ -163,7 +163,7 @@
 #[test]
 fn unsent_work_waits_only_for_a_try_in_time() {
     let (mut world, seen) = world(None);
-    world.nodes[0].engine_gone(common::card(0).name);
+    world.nodes[0].engine_gone(common::engine_description(0).name);
     let (_, told) = world.complete(0, call("draft", "a draft", 80));
     world.run_to(END_MS + 1);
     let error = told.error().expect("it failed");
