--- a/crates/requests/examples/cost.rs
+++ b/crates/requests/examples/cost.rs
@@ -1,5 +1,5 @@
-//! What requests cost a node, without any engine, network or HTTP: time for each token and for
-//! each request, and memory for each request under way.
+//! Measures the cost of requests on a node without any engine, network or HTTP: the time per token
+//! and per request, and the memory per request under way.
 //!
 //! `cargo run --release -p bluebell-requests --example cost`
 
@@ -23,9 +23,9 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Requests under way at once.
+/// The number of requests under way at once.
 const REQUESTS: u64 = 2_000;
-/// Tokens of each answer.
+/// The number of tokens of each answer.
 const TOKENS: u64 = 200;
 
 const CONFIG: &str = r#"{
@@ -36,7 +36,7 @@
   "models": [{"name": "m", "version": 1}]
 }"#;
 
-/// Remembers the streams that were begun.
+/// Collects the streams that were started.
 #[derive(Default)]
 struct Engine {
     streams: RefCell<Vec<(RequestId, AttemptNo, Fwd<Event>)>>,
@@ -98,7 +98,7 @@
     }
 }
 
-/// Resident memory in bytes; 0 where the system does not tell.
+/// Returns the resident memory in bytes; 0 if the system does not report it.
 fn resident_bytes() -> u64 {
     const PAGE_BYTES: u64 = 4096;
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
--- a/crates/requests/tests/bounds.rs
+++ b/crates/requests/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! Bounds: retries, memory, and work that is not begun anew without need.
+//! Limits on retries and on memory, and work that is not restarted without need.
 
 mod common;
 
@@ -9,10 +9,10 @@
 use common::{World, call, set_faults};
 use std::rc::Rc;
 
-/// All engines refuse all work: the callers hear so, and the retries stay a small share of the
-/// calls, so that the fleet isn't held down by its own retries.
+/// All engines refuse all work. The callers receive the refusal, and the retries stay a small share
+/// of the calls, so that retries do not keep the fleet overloaded.
 #[test]
-fn retries_keep_to_their_budget() {
+fn retries_stay_within_their_budget() {
     let mut world = World::new(1, 3, 1);
     let refuse = 1.0;
     set_faults(
@@ -36,20 +36,23 @@
         "{}",
         counts.retries.get()
     );
-    assert!(counts.denied.get() > 0, "the budget was never used up");
+    assert!(
+        counts.denied.get() > 0,
+        "the retry budget was never exhausted"
+    );
 }
 
-/// The claims are silent and callers go on calling with large prompts: the node holds no more than
-/// it may, and the callers over the bound are told to come back.
+/// The claims are silent while callers continue to send large prompts. The node holds no more bytes
+/// than its limit, and the callers over the limit receive a retry delay.
 #[test]
-fn prompts_under_way_are_bounded() {
+fn held_prompt_bytes_are_bounded() {
     let settings = RequestsSettings {
         live_bytes: Bytes(100_000),
         ..RequestsSettings::default()
     };
     let mut world = World::with(1, 1, 1, settings);
     world.claims.silent.set(true);
-    let told: Vec<_> = (0..20)
+    let received: Vec<_> = (0..20)
         .map(|i| {
             world.complete(
                 0,
@@ -58,7 +61,7 @@
         })
         .collect();
     world.run_for(10);
-    let refused = told.iter().filter_map(|(_, told)| told.error());
+    let refused = received.iter().filter_map(|(_, received)| received.error());
     let refused: Vec<Error> = refused.collect();
     assert_eq!(refused.len(), 10);
     assert!(
@@ -68,21 +71,22 @@
     );
     world.run_for(6_000);
     world.claims.silent.set(false);
-    let (_, told) = world.complete(0, call("draft", &"x".repeat(30_000), 10));
+    let (_, received) = world.complete(0, call("draft", &"x".repeat(30_000), 10));
     world.run_for(2_000);
     assert!(
-        told.is_finished(),
-        "the bytes are free again: {}",
-        told.brief()
+        received.is_finished(),
+        "the bytes were not released: {}",
+        received.summary()
     );
 }
 
-/// A long prefill sends nothing for minutes, and the client's limit of silence breaks its link
-/// again and again. Begun anew elsewhere each time, the longest prompts would never be answered.
+/// A long prefill sends nothing for minutes, and the client's silence limit breaks its link
+/// repeatedly. If each break restarted the request elsewhere, the longest prompts would never be
+/// answered.
 #[test]
-fn a_long_prefill_is_not_begun_anew() {
+fn a_long_prefill_is_not_restarted() {
     let mut world = World::new(1, 2, 1);
-    let (_, told) = world.complete(0, call("draft", "a whole archive", 20));
+    let (_, received) = world.complete(0, call("draft", "a whole archive", 20));
     world.run_for(10);
     let engine = world
         .engines
@@ -97,47 +101,47 @@
     }
     engine.freeze_steps(false);
     world.run_for(5_000);
-    assert!(told.is_finished(), "{}", told.brief());
-    assert_eq!(world.runs(told.request().expect("admitted")), 1);
+    assert!(received.is_finished(), "{}", received.summary());
+    assert_eq!(world.runs(received.request().expect("admitted")), 1);
 }
 
-/// The engine dies between the last token and the word that the answer is whole. With all the
-/// tokens that were asked for, it is whole; nothing is begun anew, nothing is reported lost.
+/// The engine crashes between the last token and the event that ends the answer. An answer with all
+/// requested tokens is complete: it is neither restarted nor reported as lost.
 #[test]
-fn a_full_answer_is_whole_without_the_last_word() {
+fn an_answer_with_all_tokens_finishes_without_the_final_event() {
     let max_tokens = 30;
     let full = |prompt: &String| expected_count(prompt_hash(prompt), Tokens(30)) == max_tokens;
     let prompt = (0..)
         .map(|i| format!("prompt {i}"))
         .find(full)
-        .expect("one in sixteen");
+        .expect("one prompt in sixteen has a full answer");
     for class in ["draft", "notice"] {
         let mut world = World::new(1, 2, 1);
-        let (_, told) = world.complete(0, call(class, &prompt, max_tokens));
-        while told.texts().len() < max_tokens as usize {
+        let (_, received) = world.complete(0, call(class, &prompt, max_tokens));
+        while received.texts().len() < max_tokens as usize {
             world.run_for(1);
         }
         for engine in world.engines.clone() {
             engine.kill(&mut world.stakker);
         }
         world.run_to(30_001);
-        assert!(told.is_finished(), "{class}: {}", told.brief());
-        told.check(&prompt, max_tokens, 0);
+        assert!(received.is_finished(), "{class}: {}", received.summary());
+        received.check(&prompt, max_tokens, 0);
     }
 }
 
-/// The only engine dies in the middle of an answer and another one comes up a moment later: the
-/// answer goes on there, instead of being lost because no engine was there for that moment.
+/// The only engine crashes in the middle of an answer and another one starts briefly afterwards.
+/// The answer continues there instead of failing because no engine was available meanwhile.
 #[test]
-fn a_begun_answer_waits_for_an_engine() {
+fn a_partial_answer_waits_for_an_engine() {
     let mut world = World::new(1, 1, 1);
-    let (_, told) = world.complete(0, call("draft", "a draft", 80));
+    let (_, received) = world.complete(0, call("draft", "a draft", 80));
     world.run_for(300);
     world.engines[0].clone().kill(&mut world.stakker);
     world.nodes[0].engine_gone(common::engine_description(0).name);
     let (_, new) = world.complete(0, call("draft", "another draft", 80));
     world.run_for(3_000);
-    let error = new.error().expect("new work is sent away at once");
+    let error = new.error().expect("new work is refused at once");
     assert_eq!(error.verdict, Verdict::NotRun);
     world.engines[0].restart();
     world.nodes[0].engine_live(
@@ -145,17 +149,17 @@
         Rc::new(world.engines[0].clone()),
     );
     world.run_for(8_000);
-    assert!(told.is_finished(), "{}", told.brief());
-    told.check("a draft", 80, 0);
+    assert!(received.is_finished(), "{}", received.summary());
+    received.check("a draft", 80, 0);
 }
 
-/// The metrics are told what happened.
+/// The observer receives the events of a finished request.
 #[test]
-fn the_observer_is_told() {
+fn the_observer_receives_all_events() {
     let mut world = World::new(1, 1, 1);
-    let (_, told) = world.complete(0, call("draft", "a notice", 40));
+    let (_, received) = world.complete(0, call("draft", "a notice", 40));
     world.run_for(2_000);
-    let tokens = told.texts().len() as u32;
+    let tokens = received.texts().len() as u32;
     let counts = &world.counts;
     let seen = [
         &counts.admitted,
--- a/crates/requests/tests/chaos.rs
+++ b/crates/requests/tests/chaos.rs
@@ -1,4 +1,4 @@
-//! Many seeds of random faults on production actors: whatever fails, the promises hold.
+//! Random faults on production actors over many seeds; the guarantees hold whatever fails.
 //!
 //! `REQUESTS_SEED=n` replays one seed; `REQUESTS_SEEDS=n` runs that many (a longer soak).
 
@@ -9,48 +9,48 @@
 use bluebell_requests::RequestsSettings;
 use bluebell_requests::call::{CallerCall, CallerId, Completion};
 use common::engine::{Faults, KV_TOKENS};
-use common::{Told, World, call, engine_description, keyed};
+use common::{ReceivedEvents, World, call, engine_description, keyed};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-/// Seeds run where the environment says nothing.
+/// The number of seeds if the environment sets none.
 const SEEDS: u64 = 150;
-/// Requests of one seed.
+/// The number of requests in one seed.
 const REQUESTS: usize = 14;
-/// Each class's end target in the test configuration.
+/// The end target of each class in the test configuration.
 const END_MS: u64 = 30_000;
-/// Timers are rounded up to a fraction of the world's step of a millisecond.
+/// Timers are rounded up to a fraction of the world's step of one millisecond.
 const TICK_MS: u64 = 1;
 
-struct Asked {
+struct IssuedRequest {
     call: Completion,
     node: usize,
     caller: CallerId,
-    told: Told,
+    received: ReceivedEvents,
     at_ms: u64,
     hung_up: bool,
-    /// The first token wanted, for a caller that reads on.
+    /// The position of the first token wanted; above 0 for a caller that resumes reading.
     first: u64,
 }
 
 struct Chaos {
     world: World,
     rng: ChaCha8Rng,
-    asked: Vec<Asked>,
+    issued: Vec<IssuedRequest>,
 }
 
 #[test]
-fn the_promises_hold_under_random_faults() {
+fn guarantees_hold_under_random_faults() {
     let ends = run_seeds(false, |_| ());
     assert!(ends.len() > 5, "{ends:#?}");
     assert!(ends.contains_key("finished by a group"), "{ends:#?}");
 }
 
-/// The same where engines are busier than they were believed to be, so that work is taken back.
+/// The same with engines that are busier than the policy assumes, so that work is recalled.
 #[test]
-fn the_promises_hold_under_random_faults_with_recalls() {
+fn guarantees_hold_under_random_faults_with_recalls() {
     let mut recalls = 0;
     let ends = run_seeds(true, |world| recalls += world.counts.recalls.get());
     println!("{recalls} recalls");
@@ -58,8 +58,8 @@
     assert!(ends.len() > 5, "{ends:#?}");
 }
 
-/// Runs the seeds that the environment names, with engines that are `filled` from the beginning or
-/// not; gives how the requests ended, and how often.
+/// Runs the seeds that the environment selects; with `filled`, the engines have work from the
+/// start. Returns the outcomes of the requests and their counts.
 fn run_seeds(filled: bool, mut after: impl FnMut(&World)) -> BTreeMap<String, usize> {
     let one = std::env::var("REQUESTS_SEED")
         .ok()
@@ -73,7 +73,7 @@
     };
     let mut ends: BTreeMap<String, usize> = BTreeMap::new();
     for seed in seeds {
-        // The seed is printed by the harness only where the test fails.
+        // The test harness prints the seed only if the test fails.
         println!("REQUESTS_SEED={seed}");
         let mut chaos = Chaos::new(filled, seed);
         for end in chaos.run() {
@@ -81,7 +81,7 @@
         }
         after(&chaos.world);
     }
-    // Faults that never hit, or a world where nothing succeeds, would prove nothing.
+    // Faults that never take effect, or a world in which nothing succeeds, would prove nothing.
     println!("{ends:#?}");
     ends
 }
@@ -90,7 +90,7 @@
     fn new(filled: bool, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let (nodes, engines) = (rng.random_range(1..=2), rng.random_range(2..=4));
-        // The production policy and a baseline in turn; only the former recalls.
+        // Alternates between the production policy and a baseline; only the former recalls work.
         let kind = match seed % 2 {
             _ if filled => Kind::Laxity,
             0 => Kind::Laxity,
@@ -101,7 +101,7 @@
         let mut chaos = Self {
             world,
             rng,
-            asked: Vec::new(),
+            issued: Vec::new(),
         };
         chaos.set_faults();
         if filled {
@@ -135,23 +135,23 @@
 
     fn run(&mut self) -> Vec<String> {
         for index in 0..REQUESTS {
-            self.ask(index);
+            self.issue(index);
             for _ in 0..self.rng.random_range(0..4) {
-                self.strike();
+                self.inject_fault();
                 let pause_ms = self.rng.random_range(1..800);
                 self.world.run_for(pause_ms);
             }
         }
         self.world.run_for(END_MS + 1);
-        self.calm();
+        self.clear_faults();
         self.world.run_for(60_000);
         self.retry_keys();
         self.world.run_for(END_MS + 1);
         self.check_all()
     }
 
-    fn ask(&mut self, index: usize) {
-        // One in four needs two engines' memory.
+    fn issue(&mut self, index: usize) {
+        // One in four prompts needs the memory of two engines.
         let repeats = if self.rng.random_bool(0.25) { 7_000 } else { 1 };
         let prompt = format!("prompt {index} ").repeat(repeats);
         let max_tokens = self.rng.random_range(1..60);
@@ -165,23 +165,23 @@
 
     fn send(&mut self, completion: Completion) {
         let node = self.rng.random_range(0..self.world.nodes.len());
-        let (caller, told) = self.world.complete(node, completion.clone());
-        self.asked.push(Asked {
+        let (caller, received) = self.world.complete(node, completion.clone());
+        self.issued.push(IssuedRequest {
             call: completion,
             node,
             caller,
-            told,
+            received,
             at_ms: self.world.now_ms,
             hung_up: false,
             first: 0,
         });
     }
 
-    /// Lets one thing go wrong, or a caller do something.
-    fn strike(&mut self) {
+    /// Injects one fault or lets a caller act.
+    fn inject_fault(&mut self) {
         let engine = self.rng.random_range(0..self.world.engines.len());
         let engine_port = self.world.engines[engine].clone();
-        let asked = self.rng.random_range(0..self.asked.len());
+        let issued = self.rng.random_range(0..self.issued.len());
         match self.rng.random_range(0..16) {
             0 => engine_port.kill(&mut self.world.stakker),
             1 | 2 => engine_port.restart(),
@@ -189,24 +189,24 @@
             4 | 5 => engine_port.freeze(false, &mut self.world.stakker),
             6 => self.announce(engine, false),
             7 => self.announce(engine, true),
-            8 => self.hang_up(asked),
-            9 => self.resume_answer(asked),
-            10 => self.cancel(asked),
-            11 => self.send(self.asked[asked].call.clone()),
-            12 => self.strike_claims(),
+            8 => self.hang_up(issued),
+            9 => self.resume_answer(issued),
+            10 => self.cancel(issued),
+            11 => self.send(self.issued[issued].call.clone()),
+            12 => self.inject_claims_fault(),
             13 | 14 => self.fill(engine),
             _ => (),
         }
     }
 
-    /// The engine has work ahead of whatever comes next, or has it no more.
+    /// Sets or clears the work that an engine has ahead of new requests.
     fn fill(&mut self, engine: usize) {
         let mut state = self.world.engines[engine].state.borrow_mut();
         state.queued = self.rng.random_bool(0.3);
         state.backlog_tokens = Tokens(self.rng.random_range(0..40_000));
     }
 
-    fn strike_claims(&mut self) {
+    fn inject_claims_fault(&mut self) {
         let claims = self.world.claims.clone();
         claims.down.set(self.rng.random_bool(0.3));
         claims.silent.set(self.rng.random_bool(0.2));
@@ -223,42 +223,42 @@
         }
     }
 
-    fn hang_up(&mut self, asked: usize) {
-        let asked = &mut self.asked[asked];
-        asked.hung_up = true;
-        self.world.nodes[asked.node].call(CallerCall::Disconnected {
-            caller: asked.caller,
+    fn hang_up(&mut self, issued: usize) {
+        let issued = &mut self.issued[issued];
+        issued.hung_up = true;
+        self.world.nodes[issued.node].call(CallerCall::Disconnected {
+            caller: issued.caller,
         });
     }
 
-    fn resume_answer(&mut self, asked: usize) {
+    fn resume_answer(&mut self, issued: usize) {
         let node = self.rng.random_range(0..self.world.nodes.len());
-        let before = &self.asked[asked];
-        let Some(request) = before.told.request() else {
+        let before = &self.issued[issued];
+        let Some(request) = before.received.request() else {
             return;
         };
-        let cursor = before.told.last_cursor();
-        let texts = before.told.texts();
+        let cursor = before.received.last_cursor();
+        let texts = before.received.texts();
         let first = texts.last().map_or(0, |(seq, _)| seq + 1);
         let call = before.call.clone();
-        let told = self.world.resume_answer(node, "parish", request, cursor);
-        self.asked.push(Asked {
+        let received = self.world.resume_answer(node, "parish", request, cursor);
+        self.issued.push(IssuedRequest {
             call,
             node,
             caller: CallerId(u64::MAX),
-            told,
+            received,
             at_ms: self.world.now_ms,
             hung_up: false,
             first,
         });
     }
 
-    fn cancel(&mut self, asked: usize) {
-        let asked = &self.asked[asked];
-        if let Some(request) = asked.told.request() {
+    fn cancel(&mut self, issued: usize) {
+        let issued = &self.issued[issued];
+        if let Some(request) = issued.received.request() {
             let account = AccountName::from("parish");
             let reply = Box::new(|_| ());
-            self.world.nodes[asked.node].call(CallerCall::Cancel {
+            self.world.nodes[issued.node].call(CallerCall::Cancel {
                 account,
                 request,
                 reply,
@@ -266,8 +266,8 @@
         }
     }
 
-    /// All faults end.
-    fn calm(&mut self) {
+    /// Ends all faults.
+    fn clear_faults(&mut self) {
         for engine in self.world.engines.clone() {
             engine.state.borrow_mut().faults = Faults::default();
             engine.state.borrow_mut().queued = false;
@@ -278,29 +278,29 @@
         self.world.claims.silent.set(false);
     }
 
-    /// Every caller with a key asks once more: whatever ran must not run again.
+    /// Repeats every call with a key; a request that ran must not run again.
     fn retry_keys(&mut self) {
         let keyed = self
-            .asked
+            .issued
             .iter()
             .filter(|a| a.call.idempotency_key.is_some());
-        let calls: Vec<Completion> = keyed.map(|asked| asked.call.clone()).collect();
+        let calls: Vec<Completion> = keyed.map(|issued| issued.call.clone()).collect();
         calls.into_iter().for_each(|call| self.send(call));
     }
 
     fn check_all(&mut self) -> Vec<String> {
         let mut by_key: HashMap<IdempotencyKey, u32> = HashMap::new();
         let mut seen = Vec::new();
-        for asked in &self.asked {
-            self.check_one(asked);
-            let Some(request) = asked.told.request() else {
+        for issued in &self.issued {
+            self.check_request(issued);
+            let Some(request) = issued.received.request() else {
                 continue;
             };
-            if asked.call.class == ClassName::from("notice") && !seen.contains(&request) {
+            if issued.call.class == ClassName::from("notice") && !seen.contains(&request) {
                 seen.push(request);
                 let runs = self.world.runs(request);
                 assert!(runs <= 1, "{request} ran {runs} times");
-                if let Some(key) = &asked.call.idempotency_key {
+                if let Some(key) = &issued.call.idempotency_key {
                     *by_key.entry(key.clone()).or_default() += runs;
                 }
             }
@@ -308,49 +308,57 @@
         for (key, runs) in by_key {
             assert!(runs <= 1, "{key} ran {runs} times");
         }
-        assert_eq!(self.world.held(), 0, "memory is held by nobody");
-        assert!(self.world.policies_are_empty(), "jobs of nobody are left");
-        let asked = self.asked.iter().filter(|asked| !asked.hung_up);
-        asked.map(end_of).collect()
+        assert_eq!(self.world.held(), 0, "memory is held without an owner");
+        assert!(
+            self.world.policies_are_empty(),
+            "the policies still have jobs"
+        );
+        let issued = self.issued.iter().filter(|issued| !issued.hung_up);
+        issued.map(outcome_of).collect()
     }
 
-    fn check_one(&self, asked: &Asked) {
-        let told = &asked.told;
-        told.check(&asked.call.prompt, asked.call.max_tokens.0, asked.first);
-        if !asked.hung_up {
-            let ended_ms = told.ended_ms().expect("a last event");
-            let took_ms = ended_ms - asked.at_ms;
+    fn check_request(&self, issued: &IssuedRequest) {
+        let received = &issued.received;
+        received.check(&issued.call.prompt, issued.call.max_tokens.0, issued.first);
+        if !issued.hung_up {
+            let ended_ms = received.ended_ms().expect("a last event");
+            let took_ms = ended_ms - issued.at_ms;
             assert!(
                 took_ms <= END_MS + TICK_MS,
                 "after {took_ms} ms: {}",
-                told.brief()
+                received.summary()
             );
         }
-        let Some(request) = told.request() else {
+        let Some(request) = received.request() else {
             return;
         };
-        if told.error().is_some_and(|e| e.verdict == Verdict::NotRun) {
+        if received
+            .error()
+            .is_some_and(|e| e.verdict == Verdict::NotRun)
+        {
             assert_eq!(
                 self.world.runs(request),
                 0,
                 "{request} ran: {}",
-                told.brief()
+                received.summary()
             );
         }
-        if told.error().is_some_and(|e| e.verdict == Verdict::Ran) && !is_conflict(told) {
+        if received.error().is_some_and(|e| e.verdict == Verdict::Ran) && !is_conflict(received) {
             assert!(self.world.runs(request) > 0, "{request} never ran");
         }
     }
 }
 
-fn end_of(asked: &Asked) -> String {
-    match asked.told.error() {
+fn outcome_of(issued: &IssuedRequest) -> String {
+    match issued.received.error() {
         Some(error) => format!("{:?} {}", error.kind, error.verdict),
-        None if asked.call.prompt.len() > 4 * KV_TOKENS.0 as usize => "finished by a group".into(),
+        None if issued.call.prompt.len() > 4 * KV_TOKENS.0 as usize => "finished by a group".into(),
         None => "finished".into(),
     }
 }
 
-fn is_conflict(told: &Told) -> bool {
-    told.error().is_some_and(|e| e.kind == ErrorKind::Conflict)
+fn is_conflict(received: &ReceivedEvents) -> bool {
+    received
+        .error()
+        .is_some_and(|e| e.kind == ErrorKind::Conflict)
 }
--- a/crates/requests/tests/claims.rs
+++ b/crates/requests/tests/claims.rs
@@ -1,4 +1,5 @@
-//! Idempotency keys: a claim comes first, its answer is believed, and it is settled truly.
+//! Idempotency keys: the claim comes first, its answer is obeyed, and it is settled by the actual
+//! outcome.
 
 mod common;
 
@@ -6,7 +7,7 @@
 use bluebell_peers::ClaimState;
 use bluebell_requests::call::CallerCall;
 use common::engine::Faults;
-use common::{Told, World, keyed, set_faults};
+use common::{ReceivedEvents, World, keyed, set_faults};
 
 const PROMPT: &str = "a notice";
 
@@ -14,28 +15,28 @@
     keyed("notice", PROMPT, 40, "k")
 }
 
-fn verdict_and_kind(told: &Told) -> (Verdict, ErrorKind) {
-    let error = told.error().expect("it failed");
+fn verdict_and_kind(received: &ReceivedEvents) -> (Verdict, ErrorKind) {
+    let error = received.error().expect("the request failed");
     (error.verdict, error.kind)
 }
 
-/// A caller gets "not run" at once while the log is down, and may come back.
+/// While the log is down a caller receives "not run" at once, with a retry delay.
 #[test]
-fn without_a_claim_it_does_not_run() {
+fn a_request_without_a_claim_does_not_run() {
     let mut world = World::new(1, 1, 1);
     world.claims.down.set(true);
-    let (_, told) = world.complete(0, notice());
+    let (_, received) = world.complete(0, notice());
     world.run_for(10);
     assert_eq!(
-        verdict_and_kind(&told),
+        verdict_and_kind(&received),
         (Verdict::NotRun, ErrorKind::Unavailable)
     );
-    assert!(told.error().is_some_and(|e| e.retry_after_ms.is_some()));
+    assert!(received.error().is_some_and(|e| e.retry_after_ms.is_some()));
     world.run_for(5_000);
-    assert_eq!(world.runs(told.request().expect("an identity")), 0);
+    assert_eq!(world.runs(received.request().expect("a request id")), 0);
 }
 
-/// How a request ends while its claim is under way.
+/// The end of a request whose claim is under way.
 #[derive(Clone, Copy, Debug)]
 enum End {
     ClaimTimesOut,
@@ -44,10 +45,11 @@
     HangUp,
 }
 
-/// A caller is told "not run" (or goes away) while the claim is under way; the grant comes
-/// afterwards. Kept, it would make every retry hear "may have run" of a request that never did.
+/// A caller receives "not run" (or disconnects) while the claim is under way, and the claim is
+/// granted afterwards. If the grant were kept, every retry would receive "may have run" for a
+/// request that never ran.
 #[test]
-fn a_late_grant_is_given_back() {
+fn a_late_grant_is_settled_as_not_run() {
     for end in [End::ClaimTimesOut, End::Deadline, End::Cancel, End::HangUp] {
         let mut world = World::new(1, 1, 1);
         world.claims.delay_ms.set(7_000);
@@ -55,7 +57,7 @@
         if matches!(end, End::Deadline) {
             call.deadline_ms = Some(SpanMs(1_000));
         }
-        let (caller, told) = world.complete(0, call);
+        let (caller, received) = world.complete(0, call);
         world.run_for(100);
         match end {
             End::Cancel => {
@@ -73,12 +75,12 @@
                     reply,
                 });
             }
-            End::HangUp => world.gone(0, caller),
+            End::HangUp => world.disconnect(0, caller),
             End::ClaimTimesOut | End::Deadline => (),
         }
         world.run_to(6_000);
         if !matches!(end, End::HangUp) {
-            assert_eq!(verdict_and_kind(&told).0, Verdict::NotRun, "{end:?}");
+            assert_eq!(verdict_and_kind(&received).0, Verdict::NotRun, "{end:?}");
         }
         world.run_to(8_000);
         assert!(
@@ -88,14 +90,14 @@
         world.claims.delay_ms.set(0);
         let (_, again) = world.complete(0, notice());
         world.run_for(3_000);
-        assert!(again.is_finished(), "{end:?}: {}", again.brief());
+        assert!(again.is_finished(), "{end:?}: {}", again.summary());
     }
 }
 
-/// A claim's late grant comes when the request has ended and another one has its place in the
-/// table: that one must not take the grant for its own and run without a claim.
+/// A claim is granted after its request has ended and another request occupies its slot in the
+/// table. The other request must not take the grant as its own and run without a claim.
 #[test]
-fn a_late_grant_is_nobody_elses() {
+fn a_late_grant_is_not_taken_by_another_request() {
     let mut world = World::new(1, 1, 1);
     world.claims.delay_ms.set(4_000);
     let mut first = notice();
@@ -105,12 +107,16 @@
     world.claims.delay_ms.set(60_000);
     let (_, second) = world.complete(0, keyed("notice", PROMPT, 40, "other"));
     world.run_for(4_500);
-    assert_eq!(second.all(), [], "it ran by another request's grant");
+    assert_eq!(
+        second.all(),
+        [],
+        "the request ran with another request's grant"
+    );
 }
 
-/// A caller that asks again hears what became of its first call, by that call's identity.
+/// A caller that repeats its call receives the id and the verdict of the first one.
 #[test]
-fn a_held_key_says_who_holds_it_and_how_far_it_came() {
+fn a_held_key_reports_its_holder_and_verdict() {
     let mut world = World::new(2, 1, 1);
     let (_, first) = world.complete(0, notice());
     world.run_for(100);
@@ -134,9 +140,9 @@
     assert_eq!(verdict_and_kind(&ran), (Verdict::Ran, ErrorKind::Conflict));
 }
 
-/// A caller is told "not run" as no engine took its call; its retry runs.
+/// A caller receives "not run" because no engine accepted its call; its retry runs.
 #[test]
-fn a_key_is_free_again_once_nothing_ran() {
+fn a_key_is_released_if_nothing_ran() {
     let mut world = World::new(1, 2, 1);
     set_faults(
         &world,
@@ -145,19 +151,19 @@
             ..Faults::default()
         },
     );
-    let (_, told) = world.complete(0, notice());
+    let (_, received) = world.complete(0, notice());
     world.run_for(2_000);
-    assert_eq!(verdict_and_kind(&told).0, Verdict::NotRun);
+    assert_eq!(verdict_and_kind(&received).0, Verdict::NotRun);
     set_faults(&world, Faults::default());
     let (_, again) = world.complete(0, notice());
     world.run_for(3_000);
-    assert!(again.is_finished(), "{}", again.brief());
+    assert!(again.is_finished(), "{}", again.summary());
 }
 
-/// The call to the engine is lost without a word, and its cancel finds nothing there. The engine
-/// may as well have run it, restarted and forgotten: the key must stay held.
+/// The call to the engine is lost silently, and its cancel finds nothing there. The engine may as
+/// well have run it, restarted and lost its state, so the key must stay held.
 #[test]
-fn a_key_stays_held_while_nobody_can_tell() {
+fn a_key_stays_held_while_the_verdict_is_unknown() {
     let mut world = World::new(1, 1, 1);
     set_faults(
         &world,
@@ -166,11 +172,11 @@
             ..Faults::default()
         },
     );
-    let (_, told) = world.complete(0, notice());
+    let (_, received) = world.complete(0, notice());
     world.run_for(100);
     set_faults(&world, Faults::default());
     world.run_to(40_000);
-    assert_eq!(verdict_and_kind(&told).0, Verdict::MayHaveRun);
+    assert_eq!(verdict_and_kind(&received).0, Verdict::MayHaveRun);
     let states: Vec<ClaimState> = world.claims.held.borrow().values().map(|c| c.1).collect();
     assert_eq!(states, [ClaimState::Pending]);
     let (_, again) = world.complete(0, notice());
@@ -181,8 +187,8 @@
     );
 }
 
-/// The grant comes in the very instant of the deadline, before its timer: nothing is sent to an
-/// engine for a caller that is told next that time is up, and the key is free again.
+/// The claim is granted at the time of the deadline, before the deadline's timer. Nothing is sent
+/// to an engine for a caller that is about to receive the deadline error, and the key is released.
 #[test]
 fn a_grant_at_the_deadline_sends_nothing() {
     for delay_ms in 497..=502 {
@@ -192,15 +198,15 @@
             deadline_ms: Some(SpanMs(500)),
             ..notice()
         };
-        let (_, told) = world.complete(0, call);
+        let (_, received) = world.complete(0, call);
         world.run_for(1_000);
         let sent = world.engines[0].state.borrow().generated.len();
-        // The grant's own timer is rounded up by a millisecond.
+        // The timer of the grant is rounded up by a millisecond.
         let in_time = delay_ms + 1 < 500;
         assert_eq!(sent, usize::from(in_time), "after {delay_ms} ms");
         if !in_time {
             let ended = (Verdict::NotRun, ErrorKind::DeadlineExceeded);
-            assert_eq!(verdict_and_kind(&told), ended);
+            assert_eq!(verdict_and_kind(&received), ended);
             assert!(world.claims.held.borrow().is_empty());
         }
     }
--- a/crates/requests/tests/common/engine/mod.rs
+++ b/crates/requests/tests/common/engine/mod.rs
@@ -1,7 +1,7 @@
 //! A small engine behind the engine port, under virtual time, with faults on each call and event.
 //!
-//! It answers a prompt with the texts of `prompt::expected_token`, one each [`STEP_MS`], counts how
-//! often each request was begun, and holds one unit of memory for each open stream.
+//! It answers a prompt with the texts of `prompt::expected_token`, one per [`STEP_MS`], counts the
+//! starts of each request, and holds one unit of memory for each open stream.
 
 mod port;
 mod streams;
@@ -16,40 +16,40 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// One token each.
+/// The time per token.
 pub const STEP_MS: u64 = 20;
-/// What an engine can hold for groups.
+/// The memory that an engine can reserve for groups.
 pub const KV_TOKENS: Tokens = Tokens(10_000);
-/// One way to the engine or back.
-const WIRE_MS: u64 = 1;
+/// The delay of one way to the engine or back.
+const NETWORK_DELAY_MS: u64 = 1;
 
-/// How likely each fault is, and which switches are on.
+/// The probability of each fault, and the limits of random delays.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
     /// A call never arrives and is never answered.
     pub lose_call: f64,
-    /// A call takes effect and its answer is lost, without a word.
+    /// A call takes effect and its answer is silently lost.
     pub lose_answer: f64,
     /// A call takes effect and the connection breaks.
     pub break_call: f64,
-    /// A call arrives later, by up to this much.
+    /// A call is delayed by up to this time.
     pub delay_call_ms: u64,
     /// A call is refused before it is sent.
     pub refuse: f64,
     /// An event is lost.
     pub lose_event: f64,
-    /// An event comes twice.
+    /// An event arrives twice.
     pub double_event: f64,
-    /// An event comes later, by up to this much, and so out of order.
+    /// An event is delayed by up to this time, and so reordered.
     pub delay_event_ms: u64,
-    /// An event of another request or attempt comes before it.
+    /// An event of another request or attempt arrives before it.
     pub cross_event: f64,
     /// The stream's connection breaks at an event.
     pub break_stream: f64,
 }
 
-/// A call that came while the engine was frozen.
-type HeldBack = Box<dyn FnOnce(&Engine, &mut Core)>;
+/// A call that arrived while the engine was frozen.
+type DelayedCall = Box<dyn FnOnce(&Engine, &mut Core)>;
 
 struct Stream {
     call: Generate,
@@ -61,33 +61,33 @@
     ended: Option<Result<(), Error>>,
 }
 
-/// What an engine holds and did.
+/// The state of an engine and the record of its work.
 pub struct EngineState {
     pub faults: Faults,
     pub dead: bool,
     pub frozen: bool,
-    /// Calls are answered, but nothing is computed.
+    /// True while calls are answered but nothing is computed.
     pub idle: bool,
-    /// New work waits behind other work: a cancel finds that nothing of it ran.
+    /// True while new work is queued behind other work: a cancel finds that nothing of it ran.
     pub queued: bool,
     /// The prefill work reported as being ahead of new work.
     pub backlog_tokens: Tokens,
-    /// How often each request was begun, over all restarts.
+    /// The number of starts of each request, over all restarts of the engine.
     pub runs: HashMap<RequestId, u32>,
-    /// Calls to generate that arrived here.
+    /// The `generate` calls that arrived here.
     pub generated: Vec<Generate>,
-    /// Reservations: until when, and how much.
+    /// The expiry time and the size of each reservation.
     pub reserved: HashMap<ReservationId, (u64, Tokens)>,
     streams: HashMap<RequestId, Stream>,
     tombstones: HashMap<RequestId, AttemptNo>,
-    live: u64,
-    held_back: Vec<HeldBack>,
+    generation: u64,
+    delayed_calls: Vec<DelayedCall>,
     readers: u64,
     rng: ChaCha8Rng,
 }
 
 impl EngineState {
-    /// Reserves all of it or nothing; what a stream took over stays with the stream.
+    /// Reserves all of it or nothing; memory that a stream took over stays with the stream.
     fn reserve(&mut self, call: &Reserve, until_ms: u64) -> bool {
         let id = call.reservation;
         let mut streams = self.streams.values();
@@ -125,8 +125,8 @@
             reserved: HashMap::new(),
             streams: HashMap::new(),
             tombstones: HashMap::new(),
-            live: 0,
-            held_back: Vec::new(),
+            generation: 0,
+            delayed_calls: Vec::new(),
             readers: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
         };
@@ -134,13 +134,13 @@
         Self { state, origin }
     }
 
-    /// The process dies: everything in it is gone and its connections break.
+    /// Kills the process: its state is lost and its connections break.
     pub fn kill(&self, core: &mut Core) {
         let streams = {
             let mut state = self.state.borrow_mut();
             state.dead = true;
-            state.live += 1;
-            state.held_back.clear();
+            state.generation += 1;
+            state.delayed_calls.clear();
             state.tombstones.clear();
             state.reserved.clear();
             std::mem::take(&mut state.streams)
@@ -153,26 +153,26 @@
         }
     }
 
-    /// The process starts anew, empty.
+    /// Starts the process again, empty.
     pub fn restart(&self) {
         self.state.borrow_mut().dead = false;
     }
 
-    /// The process stops answering, until it is thawed.
+    /// Stops the process from answering, or lets it continue.
     pub fn freeze(&self, frozen: bool, core: &mut Core) {
         self.state.borrow_mut().frozen = frozen;
         if !frozen {
-            let held = std::mem::take(&mut self.state.borrow_mut().held_back);
+            let held = std::mem::take(&mut self.state.borrow_mut().delayed_calls);
             held.into_iter().for_each(|call| call(self, core));
         }
     }
 
-    /// Computes nothing while calls are answered, as in a long prefill.
+    /// Stops computing while calls are still answered, as in a long prefill, or continues.
     pub fn freeze_steps(&self, idle: bool) {
         self.state.borrow_mut().idle = idle;
     }
 
-    /// All connections break.
+    /// Breaks all connections.
     pub fn break_all(&self, core: &mut Core) {
         let requests: Vec<_> = self.state.borrow().streams.keys().copied().collect();
         for request in requests {
@@ -180,7 +180,7 @@
         }
     }
 
-    /// How many streams were stopped by a cancel.
+    /// Returns the number of streams that a cancel stopped.
     pub fn stopped_by_cancel(&self) -> usize {
         let state = self.state.borrow();
         let by_cancel = |s: &&Stream| {
@@ -190,14 +190,14 @@
         state.streams.values().filter(by_cancel).count()
     }
 
-    /// Whether it generates for a prompt.
+    /// Returns true if the engine generates for a prompt.
     pub fn generates(&self, prompt: &str) -> bool {
         let state = self.state.borrow();
         let mut open = state.streams.values().filter(|s| s.ended.is_none());
         open.any(|stream| &*stream.call.prompt == prompt)
     }
 
-    /// Memory held: open streams and reservations.
+    /// Returns the memory held: the number of open streams and reservations.
     pub fn held(&self) -> usize {
         let state = self.state.borrow();
         let open = state.streams.values().filter(|s| s.ended.is_none());
@@ -213,7 +213,7 @@
     fn delay_ms(&self, pick: impl Fn(&Faults) -> u64) -> u64 {
         let mut state = self.state.borrow_mut();
         let most = pick(&state.faults);
-        WIRE_MS
+        NETWORK_DELAY_MS
             + if most > 0 {
                 state.rng.random_range(0..=most)
             } else {
@@ -231,7 +231,7 @@
         core.now().duration_since(self.origin).as_millis() as u64
     }
 
-    /// Brings a call to the engine; `refused` is called where it can't be connected to.
+    /// Delivers a call to the engine; calls `refused` if the connection is refused.
     fn arrive(
         &self,
         core: &mut Core,
@@ -239,7 +239,7 @@
         call: impl FnOnce(&Engine, &mut Core) + 'static,
     ) {
         if self.state.borrow().dead || self.chance(|f| f.refuse) {
-            self.after(core, WIRE_MS, refused);
+            self.after(core, NETWORK_DELAY_MS, refused);
             return;
         }
         if self.chance(|f| f.lose_call) {
@@ -251,14 +251,14 @@
                 return;
             }
             if engine.state.borrow().frozen {
-                engine.state.borrow_mut().held_back.push(Box::new(call));
+                engine.state.borrow_mut().delayed_calls.push(Box::new(call));
                 return;
             }
             call(engine, core);
         });
     }
 
-    /// Brings an answer back, where it isn't lost.
+    /// Returns an answer, unless a fault loses it.
     fn answer<T: 'static>(&self, core: &mut Core, ret: Ret<Result<T, Error>>, value: T) {
         if self.chance(|f| f.lose_answer) {
             // Neither answered nor dropped, as by a connection that hangs.
@@ -266,7 +266,7 @@
             return;
         }
         let broken = self.chance(|f| f.break_call);
-        self.after(core, WIRE_MS, move |_, _| {
+        self.after(core, NETWORK_DELAY_MS, move |_, _| {
             let lost = Error::may_have_run(ErrorKind::Upstream, "the connection broke");
             ret.ret(if broken { Err(lost) } else { Ok(value) });
         });
--- a/crates/requests/tests/common/engine/port.rs
+++ b/crates/requests/tests/common/engine/port.rs
@@ -1,4 +1,4 @@
-//! The engine's interface: how its calls arrive, and what it answers.
+//! The engine's port: the arrival of calls and their answers.
 
 use super::{Engine, load, refused};
 use bluebell_base::prelude::*;
--- a/crates/requests/tests/common/engine/streams.rs
+++ b/crates/requests/tests/common/engine/streams.rs
@@ -1,6 +1,6 @@
-//! The engine's streams: begun, read, computed one token a step, broken and stopped.
+//! The engine's streams: started, read, computed one token per step, broken and stopped.
 
-use super::{Engine, STEP_MS, Stream, WIRE_MS, finished, load};
+use super::{Engine, NETWORK_DELAY_MS, STEP_MS, Stream, finished, load};
 use bluebell_base::prelude::*;
 use bluebell_upstreams::prompt::{expected_count, expected_token, prompt_hash};
 use bluebell_upstreams::{CancelAnswer, Event, EventBody, Generate, LoadReport};
@@ -12,13 +12,13 @@
         let refusal = {
             let state = self.state.borrow();
             let known = state.streams.get(&call.request);
-            let buried = state.tombstones.get(&call.request);
+            let cancelled = state.tombstones.get(&call.request);
             if known.is_some_and(|s| s.call.attempt == call.attempt) {
                 None
             } else if known.is_some_and(|s| s.ended.is_none() || matches!(s.ended, Some(Ok(())))) {
                 let text = "another attempt is here";
                 Some(Error::may_have_run(ErrorKind::Conflict, text))
-            } else if buried.is_some_and(|a| *a >= call.attempt) {
+            } else if cancelled.is_some_and(|a| *a >= call.attempt) {
                 Some(Error::not_run(
                     ErrorKind::Cancelled,
                     "cancelled before it came",
@@ -55,12 +55,14 @@
         };
         self.read(core, id.0, 0, events);
         if fresh {
-            let live = self.state.borrow().live;
-            self.after(core, STEP_MS, move |e, core| e.step(core, id.0, id.1, live));
+            let generation = self.state.borrow().generation;
+            self.after(core, STEP_MS, move |e, core| {
+                e.step(core, id.0, id.1, generation)
+            });
         }
     }
 
-    /// Attaches a reader and sends it what there is from event `from` on.
+    /// Attaches a reader and sends it the events from event `from` on.
     pub(super) fn read(&self, core: &mut Core, request: RequestId, from: u64, events: Fwd<Event>) {
         let (call, texts, whole) = {
             let mut state = self.state.borrow_mut();
@@ -98,7 +100,13 @@
     }
 
     /// Produces one token of a stream, or ends it.
-    pub(super) fn step(&self, core: &mut Core, request: RequestId, attempt: AttemptNo, live: u64) {
+    pub(super) fn step(
+        &self,
+        core: &mut Core,
+        request: RequestId,
+        attempt: AttemptNo,
+        generation: u64,
+    ) {
         let now_ms = self.now_ms(core);
         let stopped = {
             let state = self.state.borrow();
@@ -106,7 +114,7 @@
         };
         if stopped {
             self.after(core, STEP_MS, move |e, core| {
-                e.step(core, request, attempt, live)
+                e.step(core, request, attempt, generation)
             });
             return;
         }
@@ -115,7 +123,7 @@
         }
         let sent = {
             let mut state = self.state.borrow_mut();
-            if state.live != live {
+            if state.generation != generation {
                 return;
             }
             let Some(stream) = state.streams.get_mut(&request) else {
@@ -145,7 +153,7 @@
             self.deliver(core, &fwd, &call, body);
         }
         self.after(core, STEP_MS, move |e, core| {
-            e.step(core, request, attempt, live)
+            e.step(core, request, attempt, generation)
         });
     }
 
@@ -164,7 +172,7 @@
         };
         if let Some((fwd, call)) = broken {
             let error = Error::may_have_run(ErrorKind::Upstream, "the connection broke");
-            self.after(core, WIRE_MS, move |_, core| {
+            self.after(core, NETWORK_DELAY_MS, move |_, core| {
                 Self::fail(core, &fwd, (call.request, call.attempt), error);
             });
         }
--- a/crates/requests/tests/common/mod.rs
+++ b/crates/requests/tests/common/mod.rs
@@ -4,9 +4,9 @@
 
 pub mod engine;
 pub mod ports;
-pub mod told;
+pub mod received;
 
-pub use told::Told;
+pub use received::ReceivedEvents;
 
 use bluebell_base::prelude::*;
 use bluebell_config::FleetConfig;
@@ -17,7 +17,7 @@
 };
 use bluebell_timers::Timers;
 use engine::Engine;
-use ports::{Claims, Counter, Counts, Peers};
+use ports::{Claims, CountingObserver, Counts, Peers};
 use stakker::{Stakker, ret_some_do};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -60,7 +60,7 @@
         Self::deciding(Kind::LeastRequests, nodes, engines, seed, settings)
     }
 
-    /// A world whose nodes decide by the policy `kind`.
+    /// Creates a world whose nodes use the policy `kind`.
     pub fn deciding(
         kind: Kind,
         nodes: u64,
@@ -74,7 +74,7 @@
         })
     }
 
-    /// A world whose nodes decide by policies that `open` gives.
+    /// Creates a world whose nodes use the policies that `open` returns.
     pub fn with_policies(
         (nodes, engines): (u64, u64),
         seed: u64,
@@ -83,7 +83,8 @@
     ) -> Self {
         let origin = Instant::now();
         let mut stakker = Stakker::new(origin);
-        let config: Arc<FleetConfig> = Arc::new(bluebell_config::parse(CONFIG).expect("checked"));
+        let config: Arc<FleetConfig> =
+            Arc::new(bluebell_config::parse(CONFIG).expect("the configuration is valid"));
         let claims = Rc::new(Claims::default());
         let peers = Rc::new(Peers::default());
         let counts = Rc::new(Counts::default());
@@ -99,7 +100,7 @@
                 fleet_secret: b"secret".to_vec(),
                 claims: claims.clone(),
                 policy: open(&config, seed + node),
-                observer: Box::new(Counter(counts.clone())),
+                observer: Box::new(CountingObserver(counts.clone())),
                 lookup: peers.clone(),
                 seed: seed + node,
             };
@@ -128,7 +129,7 @@
         world
     }
 
-    /// Moves the clock in small steps, as a busy loop would see it.
+    /// Advances the clock in steps of a millisecond, as a busy loop would.
     pub fn run_to(&mut self, at_ms: u64) {
         loop {
             let now = self.origin + Duration::from_millis(self.now_ms);
@@ -145,8 +146,8 @@
         self.run_to(self.now_ms + ms);
     }
 
-    pub fn told(&self) -> Told {
-        Told::new(self.clock.clone())
+    pub fn received(&self) -> ReceivedEvents {
+        ReceivedEvents::new(self.clock.clone())
     }
 
     pub fn caller(&mut self) -> CallerId {
@@ -154,26 +155,26 @@
         CallerId(self.callers)
     }
 
-    /// Calls for an answer at a node and returns the caller with what it is told.
-    pub fn complete(&mut self, node: usize, call: Completion) -> (CallerId, Told) {
-        let (caller, told) = (self.caller(), self.told());
+    /// Sends a call for an answer to a node; returns the caller and the events that it receives.
+    pub fn complete(&mut self, node: usize, call: Completion) -> (CallerId, ReceivedEvents) {
+        let (caller, received) = (self.caller(), self.received());
         self.nodes[node].call(CallerCall::Complete {
             caller,
             completion: call,
-            sink: Box::new(told.clone()),
+            sink: Box::new(received.clone()),
         });
-        (caller, told)
+        (caller, received)
     }
 
-    /// Reads on at a node.
+    /// Resumes reading at a node.
     pub fn resume_answer(
         &mut self,
         node: usize,
         account: &str,
         request: RequestId,
         cursor: Option<Arc<str>>,
-    ) -> Told {
-        let (caller, told) = (self.caller(), self.told());
+    ) -> ReceivedEvents {
+        let (caller, received) = (self.caller(), self.received());
         let account = AccountName::from(account);
         self.nodes[node].call(CallerCall::ResumeAnswer {
             caller,
@@ -182,23 +183,23 @@
                 request,
                 cursor,
             },
-            sink: Box::new(told.clone()),
+            sink: Box::new(received.clone()),
         });
-        told
+        received
     }
 
-    pub fn gone(&mut self, node: usize, caller: CallerId) {
+    pub fn disconnect(&mut self, node: usize, caller: CallerId) {
         self.nodes[node].call(CallerCall::Disconnected { caller });
     }
 
-    /// A node's process dies; the nodes behind it move up.
+    /// Kills a node's process; the nodes after it move up by one index.
     pub fn kill_node(&mut self, node: usize) {
         let incarnation = Incarnation(0xb0 + node as u64);
         self.peers.nodes.borrow_mut().remove(&incarnation);
         self.nodes.remove(node);
     }
 
-    /// How often a request was begun on any engine.
+    /// Returns the number of times that a request was started on all engines.
     pub fn runs(&self, request: RequestId) -> u32 {
         let counts = self.engines.iter().map(|engine| {
             let state = engine.state.borrow();
@@ -207,7 +208,7 @@
         counts.sum()
     }
 
-    /// Whether no node's policy has a job left.
+    /// Returns true if no node's policy has a job left.
     pub fn policies_are_empty(&mut self) -> bool {
         let dumps: Rc<RefCell<Vec<Arc<str>>>> = Rc::default();
         for node in &self.nodes {
@@ -224,10 +225,13 @@
         self.engines.iter().map(Engine::held).sum()
     }
 
-    /// The engine that a request was begun on last.
+    /// Returns the first engine that a request was started on.
     pub fn engine_of(&self, request: RequestId) -> usize {
         let runs = |engine: &Engine| engine.state.borrow().runs.contains_key(&request);
-        self.engines.iter().position(runs).expect("it was begun")
+        self.engines
+            .iter()
+            .position(runs)
+            .expect("the request was started")
     }
 }
 
@@ -240,7 +244,7 @@
     }
 }
 
-/// Sets faults at all engines.
+/// Sets the faults of all engines.
 pub fn set_faults(world: &World, faults: engine::Faults) {
     for engine in &world.engines {
         engine.state.borrow_mut().faults = faults;
--- a/crates/requests/tests/common/ports.rs
+++ b/crates/requests/tests/common/ports.rs
@@ -1,4 +1,4 @@
-//! The nodes' other ports: claims, the way to other nodes, and a counting observer.
+//! The nodes' other ports: claims, lookups at other nodes, and a counting observer.
 
 use bluebell_base::prelude::*;
 use bluebell_claims::ClaimsPort;
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Claims that take effect and are granted together, or with the faults of the switches.
+/// Claims that take effect and are granted at the same time, with faults that can be switched on.
 #[derive(Default)]
 pub struct Claims {
     pub held: Rc<RefCell<Held>>,
@@ -24,7 +24,7 @@
 
 type Held = HashMap<ClaimKey, (ClaimCall, ClaimState)>;
 
-fn take(held: &mut Held, call: ClaimCall) -> ClaimAnswer {
+fn claim_key(held: &mut Held, call: ClaimCall) -> ClaimAnswer {
     match held.get(&call.key) {
         Some((by, state)) if by.request != call.request => ClaimAnswer::Held {
             by: by.request,
@@ -51,9 +51,9 @@
         let silent = self.silent.get();
         let at = core.now() + Duration::from_millis(self.delay_ms.get());
         core.timer_add(at, move |core| {
-            let answer = take(&mut held.borrow_mut(), call);
+            let answer = claim_key(&mut held.borrow_mut(), call);
             match silent {
-                // Taken effect, and the answer is lost without a word.
+                // The claim has taken effect, and its answer is lost silently.
                 true => {
                     let later = core.now() + Duration::from_secs(3600);
                     core.timer_add(later, move |_| drop(ret));
@@ -80,7 +80,7 @@
     }
 }
 
-/// Finds requests at the other nodes of the world.
+/// Looks up requests at the other nodes of the world.
 #[derive(Default)]
 pub struct Peers {
     pub nodes: RefCell<HashMap<Incarnation, RequestsHandle>>,
@@ -106,7 +106,7 @@
     }
 }
 
-/// Counts what the observers are told.
+/// Counts the events that the observers receive.
 #[derive(Default)]
 pub struct Counts {
     pub admitted: Cell<u32>,
@@ -120,40 +120,40 @@
     pub failed: Cell<u32>,
 }
 
-pub struct Counter(pub Rc<Counts>);
+pub struct CountingObserver(pub Rc<Counts>);
 
-fn add(count: &Cell<u32>) {
+fn increment(count: &Cell<u32>) {
     count.set(count.get() + 1);
 }
 
-impl RequestObserver for Counter {
+impl RequestObserver for CountingObserver {
     fn admitted(&mut self, _: &ClassName, _: LengthBand) {
-        add(&self.0.admitted);
+        increment(&self.0.admitted);
     }
     fn refused(&mut self, _: RefusedBy) {}
     fn first_token(&mut self, _: &ClassName, _: LengthBand, _: SpanMs) {
-        add(&self.0.first_tokens);
+        increment(&self.0.first_tokens);
     }
     fn between_tokens(&mut self, _: &ClassName, _: LengthBand, _: SpanMs) {
-        add(&self.0.between_tokens);
+        increment(&self.0.between_tokens);
     }
     fn attempt(&mut self) {
-        add(&self.0.attempts);
+        increment(&self.0.attempts);
     }
     fn retry(&mut self) {
-        add(&self.0.retries);
+        increment(&self.0.retries);
     }
     fn recalled(&mut self) {
-        add(&self.0.recalls);
+        increment(&self.0.recalls);
     }
     fn retry_denied(&mut self) {
-        add(&self.0.denied);
+        increment(&self.0.denied);
     }
     fn finished(&mut self, _: &ClassName, _: LengthBand, _: SpanMs) {
-        add(&self.0.finished);
+        increment(&self.0.finished);
     }
     fn failed(&mut self, _: &Error) {
-        add(&self.0.failed);
+        increment(&self.0.failed);
     }
     fn cancelled(&mut self) {}
     fn dropped_event(&mut self) {}
--- a/crates/requests/tests/common/told.rs
+++ b/crates/requests/tests/common/received.rs
@@ -1,4 +1,4 @@
-//! What one caller is told, and its check.
+//! The events that one caller receives, and their check.
 
 use bluebell_base::prelude::*;
 use bluebell_requests::call::{CallerEvent, CallerSink};
@@ -6,22 +6,22 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Collects what one caller is told.
+/// Collects the events that one caller receives.
 #[derive(Clone, Default)]
-pub struct Told {
+pub struct ReceivedEvents {
     events: Arc<Mutex<Vec<(u64, CallerEvent)>>>,
     clock: Arc<AtomicU64>,
 }
 
-impl Told {
-    /// Told nothing yet, by the clock of its world.
+impl ReceivedEvents {
+    /// Creates an empty collection that uses the clock of its world.
     pub fn new(clock: Arc<AtomicU64>) -> Self {
         let events = Arc::default();
         Self { events, clock }
     }
 }
 
-impl CallerSink for Told {
+impl CallerSink for ReceivedEvents {
     fn send(&self, event: CallerEvent) -> bool {
         let now_ms = self.clock.load(Ordering::Relaxed);
         self.events.lock().expect("no panic").push((now_ms, event));
@@ -29,18 +29,18 @@
     }
 }
 
-impl Told {
-    /// What was told, without cursors, for a person.
-    pub fn brief(&self) -> String {
+impl ReceivedEvents {
+    /// Returns a summary of the events without cursors, for messages.
+    pub fn summary(&self) -> String {
         let events = self.events.lock().expect("no panic");
-        let mut brief = String::new();
+        let mut summary = String::new();
         for (at_ms, event) in events.iter() {
             match event {
-                CallerEvent::Token { seq, .. } => brief += &format!("{at_ms}:{} ", seq.0),
-                other => brief += &format!("{at_ms}:{other:?} "),
+                CallerEvent::Token { seq, .. } => summary += &format!("{at_ms}:{} ", seq.0),
+                other => summary += &format!("{at_ms}:{other:?} "),
             }
         }
-        brief
+        summary
     }
 
     pub fn all(&self) -> Vec<CallerEvent> {
@@ -48,7 +48,7 @@
         events.iter().map(|(_, event)| event.clone()).collect()
     }
 
-    /// When the last event came, where it came.
+    /// Returns the time of the last event, if it was received.
     pub fn ended_ms(&self) -> Option<u64> {
         let events = self.events.lock().expect("no panic");
         let last = events.iter().find(|(_, event)| event.is_last());
@@ -92,16 +92,17 @@
         matches!(self.all().last(), Some(CallerEvent::Finished { .. }))
     }
 
-    /// Checks order and ends: no gaps, nothing twice, one last event at most, and it last.
+    /// Checks the order and the end of the events: no gaps, no duplicates, and at most one final
+    /// event, which is the last.
     pub fn check(&self, prompt: &str, max_tokens: u64, first: u64) {
         let all = self.all();
         let lasts = all.iter().filter(|event| event.is_last()).count();
-        assert!(lasts <= 1, "more than one last event: {}", self.brief());
+        assert!(lasts <= 1, "more than one last event: {}", self.summary());
         if lasts == 1 {
             assert!(
                 all.last().is_some_and(CallerEvent::is_last),
-                "after the last: {}",
-                self.brief()
+                "an event after the last one: {}",
+                self.summary()
             );
         }
         let hash = prompt_hash(prompt);
@@ -109,8 +110,8 @@
             assert_eq!(
                 *seq,
                 first + index as u64,
-                "a gap or a token twice: {}",
-                self.brief()
+                "a gap or a duplicate token: {}",
+                self.summary()
             );
             assert_eq!(
                 **text,
@@ -123,8 +124,8 @@
             assert_eq!(
                 count,
                 expected_count(hash, Tokens(max_tokens)),
-                "not whole: {}",
-                self.brief()
+                "incomplete answer: {}",
+                self.summary()
             );
         }
     }
--- a/crates/requests/tests/fatal.rs
+++ b/crates/requests/tests/fatal.rs
@@ -1,27 +1,27 @@
-//! Prompts that end the engines that generate for them.
+//! Prompts that crash the engines that generate for them.
 
 mod common;
 
 use bluebell_base::prelude::*;
 use common::{World, call};
 
-/// How many engines a prompt ends before it is known for that.
-const ENDS: usize = 3;
+/// The number of engines that a prompt may crash before it is detected.
+const CRASHES_TO_DETECT: usize = 3;
 
-/// How long after that it may still be sent without blame, and how often after that.
-const KNOWN_AFTER_MS: u64 = 3_000;
-const LATE_ENDS: usize = 3;
+/// The time after that in which it may still be sent, and the limit of crashes after that time.
+const DETECTION_MS: u64 = 3_000;
+const MAX_LATE_CRASHES: usize = 3;
 
-/// How often its caller's program sends it.
-const EVERY_MS: u64 = 250;
+/// The interval at which the caller's program sends the prompt.
+const SEND_INTERVAL_MS: u64 = 250;
 
-/// How long an engine generates for it before it ends.
-const RUNS_MS: u64 = 30;
+/// The time for which an engine generates for the prompt before it crashes.
+const CRASH_DELAY_MS: u64 = 30;
 
 const FATAL: &str = "a prompt that no engine survives";
 
-/// The engines that hold the fatal prompt end, and start again, empty; returns how many.
-fn end_engines(world: &mut World) -> usize {
+/// Crashes and restarts the engines that hold the fatal prompt; returns their number.
+fn crash_engines(world: &mut World) -> usize {
     let engines = world.engines.iter();
     let holding: Vec<_> = engines.filter(|e| e.generates(FATAL)).cloned().collect();
     for engine in &holding {
@@ -31,38 +31,41 @@
     holding.len()
 }
 
-/// A draft ends each engine that begins to write it, and its caller's program sends it again and
-/// again. A request of our own went on to up to four engines, and each arrival began anew, since
-/// ends were held against engines only: of twelve seconds of repeats each cost up to four engines
-/// all that they had in hand.
+/// A prompt crashes each engine that starts to generate for it, and its caller's program sends it
+/// repeatedly. If crashes counted against engines only, each request would go on to up to four
+/// engines and each arrival would start anew: in twelve seconds of repeats each arrival cost up to
+/// four engines all of their running work.
 #[test]
-fn a_prompt_that_ends_its_engines_is_generated_no_more() {
+fn a_prompt_that_crashes_engines_is_quarantined() {
     for class in ["draft", "notice"] {
         let mut world = World::new(1, 6, 7);
-        let mut ends: Vec<u64> = Vec::new();
+        let mut crashes: Vec<u64> = Vec::new();
         for arrival in 1..48 {
             world.complete(0, call(class, FATAL, 20));
-            while world.now_ms < arrival * EVERY_MS {
-                world.run_for(RUNS_MS);
-                let ended = end_engines(&mut world);
-                ends.extend(std::iter::repeat_n(world.now_ms, ended));
+            while world.now_ms < arrival * SEND_INTERVAL_MS {
+                world.run_for(CRASH_DELAY_MS);
+                let crashed = crash_engines(&mut world);
+                crashes.extend(std::iter::repeat_n(world.now_ms, crashed));
             }
         }
-        let known_at_ms = ends[ENDS - 1] + KNOWN_AFTER_MS;
-        let late = ends.iter().filter(|at_ms| **at_ms > known_at_ms).count();
-        let all = ends.len();
+        let known_at_ms = crashes[CRASHES_TO_DETECT - 1] + DETECTION_MS;
+        let late = crashes.iter().filter(|at_ms| **at_ms > known_at_ms).count();
+        let all = crashes.len();
         assert!(
-            late <= LATE_ENDS,
-            "{class}: {late} engines later, {all} in all"
+            late <= MAX_LATE_CRASHES,
+            "{class}: {late} late crashes, {all} in total"
         );
-        let (_, told) = world.complete(0, call(class, FATAL, 20));
+        let (_, received) = world.complete(0, call(class, FATAL, 20));
         world.run_for(1);
-        let error = told.error().expect("it is refused at once");
+        let error = received.error().expect("the prompt is refused at once");
         assert_eq!(error.verdict, Verdict::NotRun);
         assert!(error.retry_after_ms > Some(SpanMs(60_000)), "{error:?}");
-        let (_, told) = world.complete(0, call(class, "another", 20));
+        let (_, received) = world.complete(0, call(class, "another", 20));
         world.run_for(10_000);
-        assert!(told.error().is_none(), "{class}: others are served");
-        assert!(told.is_finished(), "{class}: others are served");
+        assert!(
+            received.error().is_none(),
+            "{class}: other prompts are served"
+        );
+        assert!(received.is_finished(), "{class}: other prompts are served");
     }
 }
--- a/crates/requests/tests/faults.rs
+++ b/crates/requests/tests/faults.rs
@@ -1,4 +1,4 @@
-//! One fault at one moment of a request's life: how it ends, how often it ran, how soon.
+//! One fault at one stage of a request: the outcome, the number of runs and the time that it takes.
 
 mod common;
 
@@ -6,86 +6,177 @@
 use common::engine::Faults;
 use common::{World, call, set_faults};
 
-/// What goes wrong.
+/// The fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     /// Both engines refuse connections.
     RefuseAll,
-    /// The call never arrives, and nobody says so.
+    /// The call never arrives, and no error is reported.
     LoseCall,
     /// The call arrives and its connection breaks.
     BreakCall,
     /// The stream's connection breaks.
     BreakStream,
-    /// Every event is lost for a second, without a word.
+    /// All events are silently lost for one second.
     LoseEvents,
-    /// Every event of the engine that has it is lost from now on, without a word.
-    Mute,
-    /// Every event is doubled, crossed and out of order from now on.
-    Garble,
-    /// The engine that has it dies and stays dead.
+    /// All further events of the engine that has the request are silently lost.
+    SilenceEngine,
+    /// All further events are duplicated, crossed and reordered.
+    DisorderEvents,
+    /// The engine that has the request crashes and stays down.
     Kill,
-    /// It dies and comes back empty at once.
+    /// That engine crashes and restarts empty at once.
     Restart,
-    /// It stops for five seconds.
+    /// That engine stops for five seconds.
     Pause,
-    /// It stops for good.
+    /// That engine stops for good.
     Freeze,
 }
 
-/// When it goes wrong, in the fake engine's time.
-const BEFORE: u64 = 0;
-const PREFILL: u64 = 10;
-const STREAMING: u64 = 200;
+/// The stages at which the fault occurs, in milliseconds after the call.
+const BEFORE_SEND_MS: u64 = 0;
+const PREFILL_MS: u64 = 10;
+const STREAMING_MS: u64 = 200;
 
-const WHOLE: Option<Verdict> = None;
+const COMPLETE: Option<Verdict> = None;
 const NOT_RUN: Option<Verdict> = Some(Verdict::NotRun);
 const MAY_HAVE_RUN: Option<Verdict> = Some(Verdict::MayHaveRun);
 const RAN: Option<Verdict> = Some(Verdict::Ran);
 
-/// Class, moment, fault, the end (or the failure's verdict), runs in all, and by when.
+/// The class, stage, fault, outcome (the failure's verdict), total runs and time limit.
 type Case = (&'static str, u64, Fault, Option<Verdict>, u32, u64);
 
 const CASES: &[Case] = &[
-    ("draft", BEFORE, Fault::RefuseAll, NOT_RUN, 0, 1_000),
-    ("draft", BEFORE, Fault::LoseCall, WHOLE, 1, 20_000),
-    ("draft", BEFORE, Fault::BreakCall, WHOLE, 1, 2_000),
-    ("draft", BEFORE, Fault::Garble, WHOLE, 1, 8_000),
-    ("draft", PREFILL, Fault::Kill, WHOLE, 2, 3_000),
-    ("draft", PREFILL, Fault::Restart, WHOLE, 2, 3_000),
-    ("draft", PREFILL, Fault::Freeze, WHOLE, 2, 25_000),
-    ("draft", STREAMING, Fault::Kill, WHOLE, 2, 3_000),
-    ("draft", STREAMING, Fault::Restart, WHOLE, 2, 3_000),
-    ("draft", STREAMING, Fault::Freeze, WHOLE, 2, 25_000),
-    ("draft", STREAMING, Fault::Pause, WHOLE, 1, 10_000),
-    ("draft", STREAMING, Fault::BreakStream, WHOLE, 1, 2_000),
-    ("draft", STREAMING, Fault::LoseEvents, WHOLE, 1, 5_000),
-    ("draft", STREAMING, Fault::Mute, WHOLE, 2, 20_000),
-    ("draft", STREAMING, Fault::Garble, WHOLE, 1, 8_000),
-    ("notice", BEFORE, Fault::RefuseAll, NOT_RUN, 0, 1_000),
-    ("notice", BEFORE, Fault::LoseCall, MAY_HAVE_RUN, 0, 30_001),
-    ("notice", BEFORE, Fault::BreakCall, WHOLE, 1, 2_000),
-    ("notice", BEFORE, Fault::Garble, WHOLE, 1, 8_000),
-    ("notice", PREFILL, Fault::Kill, MAY_HAVE_RUN, 1, 30_001),
-    ("notice", PREFILL, Fault::Restart, MAY_HAVE_RUN, 1, 5_000),
-    ("notice", PREFILL, Fault::Freeze, MAY_HAVE_RUN, 1, 30_001),
-    ("notice", PREFILL, Fault::Pause, WHOLE, 1, 12_000),
-    ("notice", STREAMING, Fault::Kill, RAN, 1, 30_001),
-    ("notice", STREAMING, Fault::Restart, RAN, 1, 5_000),
-    ("notice", STREAMING, Fault::Freeze, RAN, 1, 30_001),
-    ("notice", STREAMING, Fault::Pause, WHOLE, 1, 12_000),
-    ("notice", STREAMING, Fault::BreakStream, WHOLE, 1, 2_000),
-    ("notice", STREAMING, Fault::LoseEvents, WHOLE, 1, 5_000),
-    ("notice", STREAMING, Fault::Mute, RAN, 1, 30_001),
-    ("notice", STREAMING, Fault::Garble, WHOLE, 1, 8_000),
+    ("draft", BEFORE_SEND_MS, Fault::RefuseAll, NOT_RUN, 0, 1_000),
+    (
+        "draft",
+        BEFORE_SEND_MS,
+        Fault::LoseCall,
+        COMPLETE,
+        1,
+        20_000,
+    ),
+    (
+        "draft",
+        BEFORE_SEND_MS,
+        Fault::BreakCall,
+        COMPLETE,
+        1,
+        2_000,
+    ),
+    (
+        "draft",
+        BEFORE_SEND_MS,
+        Fault::DisorderEvents,
+        COMPLETE,
+        1,
+        8_000,
+    ),
+    ("draft", PREFILL_MS, Fault::Kill, COMPLETE, 2, 3_000),
+    ("draft", PREFILL_MS, Fault::Restart, COMPLETE, 2, 3_000),
+    ("draft", PREFILL_MS, Fault::Freeze, COMPLETE, 2, 25_000),
+    ("draft", STREAMING_MS, Fault::Kill, COMPLETE, 2, 3_000),
+    ("draft", STREAMING_MS, Fault::Restart, COMPLETE, 2, 3_000),
+    ("draft", STREAMING_MS, Fault::Freeze, COMPLETE, 2, 25_000),
+    ("draft", STREAMING_MS, Fault::Pause, COMPLETE, 1, 10_000),
+    (
+        "draft",
+        STREAMING_MS,
+        Fault::BreakStream,
+        COMPLETE,
+        1,
+        2_000,
+    ),
+    ("draft", STREAMING_MS, Fault::LoseEvents, COMPLETE, 1, 5_000),
+    (
+        "draft",
+        STREAMING_MS,
+        Fault::SilenceEngine,
+        COMPLETE,
+        2,
+        20_000,
+    ),
+    (
+        "draft",
+        STREAMING_MS,
+        Fault::DisorderEvents,
+        COMPLETE,
+        1,
+        8_000,
+    ),
+    (
+        "notice",
+        BEFORE_SEND_MS,
+        Fault::RefuseAll,
+        NOT_RUN,
+        0,
+        1_000,
+    ),
+    (
+        "notice",
+        BEFORE_SEND_MS,
+        Fault::LoseCall,
+        MAY_HAVE_RUN,
+        0,
+        30_001,
+    ),
+    (
+        "notice",
+        BEFORE_SEND_MS,
+        Fault::BreakCall,
+        COMPLETE,
+        1,
+        2_000,
+    ),
+    (
+        "notice",
+        BEFORE_SEND_MS,
+        Fault::DisorderEvents,
+        COMPLETE,
+        1,
+        8_000,
+    ),
+    ("notice", PREFILL_MS, Fault::Kill, MAY_HAVE_RUN, 1, 30_001),
+    ("notice", PREFILL_MS, Fault::Restart, MAY_HAVE_RUN, 1, 5_000),
+    ("notice", PREFILL_MS, Fault::Freeze, MAY_HAVE_RUN, 1, 30_001),
+    ("notice", PREFILL_MS, Fault::Pause, COMPLETE, 1, 12_000),
+    ("notice", STREAMING_MS, Fault::Kill, RAN, 1, 30_001),
+    ("notice", STREAMING_MS, Fault::Restart, RAN, 1, 5_000),
+    ("notice", STREAMING_MS, Fault::Freeze, RAN, 1, 30_001),
+    ("notice", STREAMING_MS, Fault::Pause, COMPLETE, 1, 12_000),
+    (
+        "notice",
+        STREAMING_MS,
+        Fault::BreakStream,
+        COMPLETE,
+        1,
+        2_000,
+    ),
+    (
+        "notice",
+        STREAMING_MS,
+        Fault::LoseEvents,
+        COMPLETE,
+        1,
+        5_000,
+    ),
+    ("notice", STREAMING_MS, Fault::SilenceEngine, RAN, 1, 30_001),
+    (
+        "notice",
+        STREAMING_MS,
+        Fault::DisorderEvents,
+        COMPLETE,
+        1,
+        8_000,
+    ),
 ];
 
-/// A caller hears the whole answer or a failure with a true verdict, soon, whatever one fault
-/// hits its request at whatever moment: the engine dies, stops or refuses, the connection breaks,
-/// loses, doubles or reorders events. Work that may be repeated goes on elsewhere; other work is
-/// read on where it is, or ends in doubt.
+/// Whatever one fault hits a request at whatever stage, its caller receives in time the complete
+/// answer or a failure with a true verdict. The engine crashes, stops or refuses; the connection
+/// breaks, or it loses, duplicates or reorders events. Work that may be repeated continues
+/// elsewhere; other work is resumed on its engine or ends with an unknown verdict.
 #[test]
-fn each_fault_at_each_moment_ends_as_it_should() {
+fn each_fault_at_each_stage_has_the_expected_outcome() {
     let failed: Vec<String> = CASES.iter().filter_map(run).collect();
     assert!(failed.is_empty(), "{}", failed.join("\n"));
 }
@@ -93,18 +184,18 @@
 fn run(case: &Case) -> Option<String> {
     let (class, moment, fault, end, runs, within_ms) = *case;
     let mut world = World::new(1, 2, 7);
-    if moment == BEFORE {
-        strike(&mut world, fault, None);
+    if moment == BEFORE_SEND_MS {
+        inject_fault(&mut world, fault, None);
     }
-    let (_, told) = world.complete(0, call(class, "an answer of some length", 80));
+    let (_, received) = world.complete(0, call(class, "an answer of some length", 80));
     world.run_for(moment.max(1));
-    if moment != BEFORE {
+    if moment != BEFORE_SEND_MS {
         let request = world.engines.iter().find_map(|engine| {
             let state = engine.state.borrow();
             state.generated.first().map(|call| call.request)
         });
         let engine = world.engine_of(request?);
-        strike(&mut world, fault, Some(engine));
+        inject_fault(&mut world, fault, Some(engine));
     }
     let lasts_ms = match fault {
         Fault::Pause => 5_000,
@@ -119,23 +210,23 @@
         }
     }
     world.run_to(31_000);
-    told.check("an answer of some length", 80, 0);
-    let ended_ms = told.ended_ms();
+    received.check("an answer of some length", 80, 0);
+    let ended_ms = received.ended_ms();
     let ran: u32 = world
         .engines
         .iter()
         .map(|e| e.state.borrow().runs.values().sum::<u32>())
         .sum();
-    let verdict = told.error().map(|error| error.verdict);
-    let as_said = verdict == end && ran == runs && ended_ms.is_some_and(|ms| ms <= within_ms);
+    let verdict = received.error().map(|error| error.verdict);
+    let as_expected = verdict == end && ran == runs && ended_ms.is_some_and(|ms| ms <= within_ms);
     let found = format!(
         "{case:?}: {verdict:?}, {ran} runs, {ended_ms:?}: {}",
-        told.brief()
+        received.summary()
     );
-    (!as_said).then_some(found)
+    (!as_expected).then_some(found)
 }
 
-fn strike(world: &mut World, fault: Fault, engine: Option<usize>) {
+fn inject_fault(world: &mut World, fault: Fault, engine: Option<usize>) {
     let core = &mut world.stakker;
     let mut faults = Faults::default();
     let hit = engine.map(|index| world.engines[index].clone());
@@ -147,19 +238,19 @@
         }
         (Fault::Freeze | Fault::Pause, Some(engine)) => engine.freeze(true, core),
         (Fault::BreakStream, Some(engine)) => engine.break_all(core),
-        (Fault::Mute, Some(engine)) => engine.state.borrow_mut().faults.lose_event = 1.0,
+        (Fault::SilenceEngine, Some(engine)) => engine.state.borrow_mut().faults.lose_event = 1.0,
         (Fault::RefuseAll, _) => faults.refuse = 1.0,
         (Fault::LoseCall, _) => faults.lose_call = 1.0,
         (Fault::BreakCall, _) => faults.break_call = 1.0,
         (Fault::LoseEvents, _) => faults.lose_event = 1.0,
-        (Fault::Garble, _) => {
+        (Fault::DisorderEvents, _) => {
             faults.double_event = 0.5;
             faults.cross_event = 0.5;
             faults.delay_event_ms = 100;
         }
         (fault, None) => panic!("{fault:?} needs an engine"),
     }
-    if fault != Fault::Mute {
+    if fault != Fault::SilenceEngine {
         set_faults(world, faults);
     }
 }
--- a/crates/requests/tests/links.rs
+++ b/crates/requests/tests/links.rs
@@ -1,4 +1,4 @@
-//! Answers that come on a call that is no longer awaited.
+//! Answers that arrive on a link that is no longer awaited.
 
 mod common;
 
@@ -15,7 +15,7 @@
 };
 use bluebell_requests::{NoObserver, RequestsSettings};
 use bluebell_upstreams::{ServiceAnswer, ServiceCall};
-use common::{CONFIG, Told};
+use common::{CONFIG, ReceivedEvents};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
 use std::sync::atomic::AtomicU64;
@@ -34,8 +34,8 @@
     }
 }
 
-/// A call whose second try is under way.
-fn life_at_second_try(told: &Told) -> LiveRequest {
+/// Creates a service call whose second try is under way.
+fn life_at_second_try(received: &ReceivedEvents) -> LiveRequest {
     let request = RequestId {
         incarnation: Incarnation(1),
         sequence: 1,
@@ -58,7 +58,7 @@
         phase: Phase::Exchanging { upstream: UPSTREAM },
         reader: Reader::Attached {
             caller: CallerId(1),
-            sink: Box::new(told.clone()),
+            sink: Box::new(received.clone()),
             from: 0,
         },
         attempt: AttemptNo(2),
@@ -75,13 +75,13 @@
     }
 }
 
-/// A caller gets the answer that its first try earned although the second is under way, and the
-/// second's is lost: the answers to two tries crossed. Only the answer on the link that is awaited
-/// ends the call.
+/// The answer to the first try arrives while the second try is under way. If it ended the call, the
+/// answers to two tries would be confused and the second one would be lost. Only the answer on the
+/// awaited link ends the call.
 #[test]
 fn a_late_answer_of_an_earlier_try_is_dropped() {
     let settings = RequestsSettings::default();
-    let config = bluebell_config::parse(CONFIG).expect("it is checked");
+    let config = bluebell_config::parse(CONFIG).expect("the configuration is valid");
     let mut policy = bluebell_policy::open(PolicySettings::of(Kind::LeastRequests), &config, 1);
     let mut out: Vec<Effect> = Vec::new();
     let mut context = Context {
@@ -98,8 +98,8 @@
         rng: &mut ChaCha8Rng::seed_from_u64(1),
         out: &mut out,
     };
-    let told = Told::new(Arc::new(AtomicU64::new(0)));
-    let mut live = life_at_second_try(&told);
+    let received = ReceivedEvents::new(Arc::new(AtomicU64::new(0)));
+    let mut live = life_at_second_try(&received);
     let answer = |status| {
         Some(Ok(ServiceAnswer {
             status,
@@ -108,9 +108,9 @@
         }))
     };
     live.on_exchanged(LinkNo(1), answer(500), &mut context);
-    assert!(!live.is_done(), "the awaited answer hasn't come");
-    assert!(told.all().is_empty(), "{}", told.brief());
+    assert!(!live.is_done(), "the awaited answer has not arrived");
+    assert!(received.all().is_empty(), "{}", received.summary());
     live.on_exchanged(LinkNo(2), answer(200), &mut context);
     assert!(live.is_done());
-    assert_eq!(told.all().len(), 1, "{}", told.brief());
+    assert_eq!(received.all().len(), 1, "{}", received.summary());
 }
--- a/crates/requests/tests/recall_guards.rs
+++ b/crates/requests/tests/recall_guards.rs
@@ -1,4 +1,4 @@
-//! The requests' own guards around recalls, before a policy that wants everything back.
+//! The requests' own guards around recalls, with a policy that recalls everything.
 
 mod common;
 
@@ -9,28 +9,28 @@
 use bluebell_upstreams::engine::CacheEvent;
 use bluebell_upstreams::{LoadReport, Priority};
 use common::engine::Faults;
-use common::{Told, World, call, set_faults};
+use common::{ReceivedEvents, World, call, set_faults};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 const PROMPT: &str = "an answer of some length";
 const MAX_TOKENS: u64 = 80;
-/// The most recalls of one request.
+/// The limit of recalls of one request.
 const MAX_RECALLS: u32 = 16;
 
-/// When the policy wants work back.
+/// The event after which the policy recalls work.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Wants {
-    /// As soon as an engine took it.
+enum RecallWhen {
+    /// An engine accepted the work.
     Accepted,
-    /// Once its first token came.
-    Begun,
+    /// Its first token arrived.
+    FirstToken,
 }
 
-/// Sends everything to the first engine that did not fail it, and wants it back.
-struct Eager {
-    wants: Wants,
+/// Sends all work to the first engine that did not fail it, and recalls it.
+struct RecallingPolicy {
+    recall_when: RecallWhen,
     engines: Vec<UpstreamId>,
     queued: Vec<RequestId>,
     recalls: Vec<RequestId>,
@@ -38,7 +38,7 @@
     accepted: Rc<Cell<u32>>,
 }
 
-impl Policy for Eager {
+impl Policy for RecallingPolicy {
     fn engine_updated(&mut self, facts: EngineFacts, _: MonoMs) {
         self.engines.push(facts.upstream);
     }
@@ -78,12 +78,12 @@
     }
     fn on_accepted(&mut self, request: RequestId, _: Tokens, _: &LoadReport, _: MonoMs) {
         self.accepted.set(self.accepted.get() + 1);
-        if self.wants == Wants::Accepted {
+        if self.recall_when == RecallWhen::Accepted {
             self.recalls.push(request);
         }
     }
     fn on_first_token(&mut self, request: RequestId, _: MonoMs) {
-        if self.wants == Wants::Begun {
+        if self.recall_when == RecallWhen::FirstToken {
             self.recalls.push(request);
         }
     }
@@ -106,13 +106,13 @@
     }
 }
 
-/// A world with two engines, and how often an acceptance was told to its policy.
-fn world(wants: Wants) -> (World, Rc<Cell<u32>>) {
+/// Returns a world with two engines, and the count of acceptances reported to its policy.
+fn world(recall_when: RecallWhen) -> (World, Rc<Cell<u32>>) {
     let accepted = Rc::new(Cell::new(0));
     let settings = RequestsSettings::default();
     let world = World::with_policies((1, 2), 7, settings, &|_, _| {
-        Box::new(Eager {
-            wants,
+        Box::new(RecallingPolicy {
+            recall_when,
             engines: Vec::new(),
             queued: Vec::new(),
             recalls: Vec::new(),
@@ -123,61 +123,61 @@
     (world, accepted)
 }
 
-fn check(world: &mut World, told: &Told) {
-    told.check(PROMPT, MAX_TOKENS, 0);
-    assert!(told.is_finished(), "{}", told.brief());
+fn check(world: &mut World, received: &ReceivedEvents) {
+    received.check(PROMPT, MAX_TOKENS, 0);
+    assert!(received.is_finished(), "{}", received.summary());
     assert_eq!(world.held(), 0);
     assert!(world.policies_are_empty());
 }
 
-/// The policy wants it back from each engine that takes it: after a bounded number of recalls it
-/// stays where it is. Then its engine dies: the recalls were no failed attempts, so that it still
-/// goes elsewhere.
+/// The policy recalls the request from each engine that accepts it. After a bounded number of
+/// recalls it stays. Then its engine crashes: the recalls did not count as failed attempts, so it
+/// still continues elsewhere.
 #[test]
-fn recalls_are_bounded_and_are_no_failed_attempts() {
-    let (mut world, accepted) = world(Wants::Accepted);
-    let (_, told) = world.complete(0, call("draft", PROMPT, MAX_TOKENS));
+fn recalls_are_bounded_and_do_not_count_as_failed_attempts() {
+    let (mut world, accepted) = world(RecallWhen::Accepted);
+    let (_, received) = world.complete(0, call("draft", PROMPT, MAX_TOKENS));
     world.run_for(500);
     assert_eq!(world.counts.recalls.get(), MAX_RECALLS);
     assert_eq!(accepted.get(), MAX_RECALLS + 1);
     assert_eq!(world.counts.retries.get(), 0);
-    assert!(!told.texts().is_empty(), "{}", told.brief());
+    assert!(!received.texts().is_empty(), "{}", received.summary());
     let engine = world.engines[0].clone();
     engine.kill(&mut world.stakker);
     world.run_for(10_000);
     assert_eq!(world.counts.retries.get(), 1);
-    check(&mut world, &told);
+    check(&mut world, &received);
 }
 
-/// The policy wants back what has begun to answer: the caller has its first token, and the attempt
-/// goes on.
+/// The policy recalls a request that has begun to answer. The caller already has its first token,
+/// so the attempt continues.
 #[test]
-fn what_has_begun_to_answer_stays() {
-    let (mut world, _) = world(Wants::Begun);
-    let (_, told) = world.complete(0, call("draft", PROMPT, MAX_TOKENS));
+fn the_guards_keep_a_started_answer() {
+    let (mut world, _) = world(RecallWhen::FirstToken);
+    let (_, received) = world.complete(0, call("draft", PROMPT, MAX_TOKENS));
     world.run_for(10_000);
     assert_eq!(world.counts.recalls.get(), 0);
     assert_eq!(world.counts.attempts.get(), 1);
-    check(&mut world, &told);
+    check(&mut world, &received);
 }
 
-/// Work that may not be repeated stays, whatever the policy wants.
+/// Work that may not be repeated stays on its engine, whatever the policy decides.
 #[test]
-fn what_may_not_be_repeated_stays() {
-    let (mut world, _) = world(Wants::Accepted);
-    let (_, told) = world.complete(0, call("notice", PROMPT, MAX_TOKENS));
+fn the_guards_keep_work_that_may_not_be_repeated() {
+    let (mut world, _) = world(RecallWhen::Accepted);
+    let (_, received) = world.complete(0, call("notice", PROMPT, MAX_TOKENS));
     world.run_for(10_000);
     assert_eq!(world.counts.recalls.get(), 0);
     assert_eq!(world.counts.attempts.get(), 1);
-    check(&mut world, &told);
+    check(&mut world, &received);
 }
 
-/// The caller hung up and reads on through another node, perhaps: its stream is left alone.
+/// The caller hung up and may have resumed reading through another node: its stream is left alone.
 #[test]
-fn what_nobody_reads_stays() {
-    let (mut world, accepted) = world(Wants::Accepted);
+fn the_guards_keep_work_without_a_reader() {
+    let (mut world, accepted) = world(RecallWhen::Accepted);
     let (caller, _) = world.complete(0, call("draft", PROMPT, MAX_TOKENS));
-    world.gone(0, caller);
+    world.disconnect(0, caller);
     world.run_for(500);
     assert_eq!(accepted.get(), 1);
     assert_eq!(world.counts.recalls.get(), 0);
@@ -186,13 +186,13 @@
     assert!(world.policies_are_empty());
 }
 
-/// The cancel of a recalled attempt is lost, and the policy sends the work to the same engine
-/// again, where the first attempt still is: the engine would refuse a second one beside it, and a
-/// retry would be spent on that.
+/// The cancel of a recalled attempt is lost, and the policy sends the work to the same engine,
+/// which still has the first attempt. The engine would reject a second one, and a retry would be
+/// spent on that.
 #[test]
-fn no_second_attempt_goes_beside_a_recalled_one() {
-    let (mut world, _) = world(Wants::Accepted);
-    let (_, told) = world.complete(0, call("draft", PROMPT, MAX_TOKENS));
+fn no_second_attempt_is_sent_to_the_engine_of_a_recalled_one() {
+    let (mut world, _) = world(RecallWhen::Accepted);
+    let (_, received) = world.complete(0, call("draft", PROMPT, MAX_TOKENS));
     world.run_for(1);
     let first = world.engines[0].clone();
     first.state.borrow_mut().faults.lose_call = 1.0;
@@ -201,14 +201,14 @@
     world.run_for(20_000);
     assert_eq!(world.counts.retries.get(), 0);
     assert_eq!(first.state.borrow().generated.len(), 1);
-    check(&mut world, &told);
+    check(&mut world, &received);
 }
 
-/// An engine's word of acceptance comes twice, and again with each resume of a broken stream: its
-/// load is old then, and work that has begun would be thrown away by it.
+/// An engine's acceptance arrives twice, and again with each resume of a broken stream. Its load is
+/// out of date then, and a recall based on it would discard work that has begun.
 #[test]
-fn an_acceptance_is_told_once_an_attempt() {
-    let (mut world, accepted) = world(Wants::Begun);
+fn an_acceptance_is_reported_once_per_attempt() {
+    let (mut world, accepted) = world(RecallWhen::FirstToken);
     let double_event = 1.0;
     set_faults(
         &world,
@@ -217,21 +217,21 @@
             ..Faults::default()
         },
     );
-    let (_, told) = world.complete(0, call("draft", PROMPT, MAX_TOKENS));
+    let (_, received) = world.complete(0, call("draft", PROMPT, MAX_TOKENS));
     world.run_for(200);
     world.engines[0].clone().break_all(&mut world.stakker);
     world.run_for(10_000);
     assert_eq!(accepted.get(), 1);
-    check(&mut world, &told);
+    check(&mut world, &received);
 }
 
-/// The cancel of a first attempt is answered only while a second one is being taken back from
-/// another engine: the answer says nothing of the second one, which is still there, and work sent
-/// there again would be refused.
+/// The cancel of a first attempt is answered only while a second one is being recalled from another
+/// engine. The answer says nothing about the second attempt, which is still there; work sent to
+/// that engine again would be rejected.
 #[test]
-fn a_late_answer_ends_no_other_recall() {
-    let (mut world, _) = world(Wants::Accepted);
-    let (_, told) = world.complete(0, call("draft", PROMPT, MAX_TOKENS));
+fn a_late_cancel_answer_ends_no_other_recall() {
+    let (mut world, _) = world(RecallWhen::Accepted);
+    let (_, received) = world.complete(0, call("draft", PROMPT, MAX_TOKENS));
     let (first, second) = (world.engines[0].clone(), world.engines[1].clone());
     while first.state.borrow().generated.is_empty() {
         world.run_for(1);
@@ -239,7 +239,10 @@
     first.state.borrow_mut().queued = true;
     first.freeze(true, &mut world.stakker);
     while second.state.borrow().generated.is_empty() {
-        assert!(world.now_ms < 2_000, "it did not go on");
+        assert!(
+            world.now_ms < 2_000,
+            "the request did not continue on the second engine"
+        );
         world.run_for(1);
     }
     second.state.borrow_mut().faults.lose_call = 1.0;
@@ -252,5 +255,5 @@
     set_faults(&world, Faults::default());
     world.run_for(20_000);
     assert_eq!(world.counts.retries.get(), 0);
-    check(&mut world, &told);
+    check(&mut world, &received);
 }
--- a/crates/requests/tests/services.rs
+++ b/crates/requests/tests/services.rs
@@ -1,19 +1,19 @@
-//! Plain services and the planned stop.
+//! Calls to plain services, and the planned stop.
 
 mod common;
 
 use bluebell_base::prelude::*;
 use bluebell_requests::call::{CallerCall, CallerEvent, ServiceRequest};
 use bluebell_upstreams::{ServiceAnswer, ServiceCall, ServicePort};
-use common::{Told, World, call};
+use common::{ReceivedEvents, World, call};
 use stakker::{Core, Ret, ret_some_do};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How a replica answers.
+/// A replica's behaviour when called.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Does {
+enum Behaviour {
     Answer,
     Refuse,
     Lose,
@@ -21,7 +21,7 @@
 }
 
 struct Replica {
-    does: Does,
+    behaviour: Behaviour,
     calls: Cell<u32>,
     kept: RefCell<Vec<Ret<Result<ServiceAnswer, Error>>>>,
 }
@@ -29,15 +29,15 @@
 impl ServicePort for Replica {
     fn call(&self, core: &mut Core, call: ServiceCall, ret: Ret<Result<ServiceAnswer, Error>>) {
         self.calls.set(self.calls.get() + 1);
-        let answer = match self.does {
-            Does::Answer => Ok(ServiceAnswer {
+        let answer = match self.behaviour {
+            Behaviour::Answer => Ok(ServiceAnswer {
                 status: 201,
                 content_type: None,
                 body: call.body,
             }),
-            Does::Refuse => Err(Error::not_run(ErrorKind::Unavailable, "refused")),
-            Does::Lose => Err(Error::may_have_run(ErrorKind::Upstream, "broke")),
-            Does::Nothing => return self.kept.borrow_mut().push(ret),
+            Behaviour::Refuse => Err(Error::not_run(ErrorKind::Unavailable, "refused")),
+            Behaviour::Lose => Err(Error::may_have_run(ErrorKind::Upstream, "broke")),
+            Behaviour::Nothing => return self.kept.borrow_mut().push(ret),
         };
         let at = core.now() + Duration::from_millis(5);
         core.timer_add(at, move |_| ret.ret(answer));
@@ -50,77 +50,131 @@
 
 const OK: Option<(Verdict, ErrorKind)> = None;
 const LOST: Option<(Verdict, ErrorKind)> = Some((Verdict::MayHaveRun, ErrorKind::Upstream));
-const LATE: Option<(Verdict, ErrorKind)> = Some((Verdict::MayHaveRun, ErrorKind::DeadlineExceeded));
-const NONE: Option<(Verdict, ErrorKind)> = Some((Verdict::NotRun, ErrorKind::Unavailable));
+const EXPIRED: Option<(Verdict, ErrorKind)> =
+    Some((Verdict::MayHaveRun, ErrorKind::DeadlineExceeded));
+const REFUSED: Option<(Verdict, ErrorKind)> = Some((Verdict::NotRun, ErrorKind::Unavailable));
 
-/// Method, path, what the two replicas do, the end, and the calls that the replicas got.
+/// The method, path, behaviour of the two replicas, outcome and number of calls to each replica.
 type Case = (
     &'static str,
     &'static str,
-    [Does; 2],
+    [Behaviour; 2],
     Option<(Verdict, ErrorKind)>,
     [u32; 2],
 );
 
 const CASES: &[Case] = &[
-    ("GET", "/notices", [Does::Answer, Does::Answer], OK, [1, 0]),
-    ("GET", "/notices", [Does::Refuse, Does::Answer], OK, [1, 1]),
-    ("GET", "/notices", [Does::Lose, Does::Answer], OK, [1, 1]),
-    ("GET", "/notices", [Does::Lose, Does::Lose], LOST, [1, 1]),
     (
         "GET",
         "/notices",
-        [Does::Refuse, Does::Refuse],
-        NONE,
+        [Behaviour::Answer, Behaviour::Answer],
+        OK,
+        [1, 0],
+    ),
+    (
+        "GET",
+        "/notices",
+        [Behaviour::Refuse, Behaviour::Answer],
+        OK,
+        [1, 1],
+    ),
+    (
+        "GET",
+        "/notices",
+        [Behaviour::Lose, Behaviour::Answer],
+        OK,
+        [1, 1],
+    ),
+    (
+        "GET",
+        "/notices",
+        [Behaviour::Lose, Behaviour::Lose],
+        LOST,
+        [1, 1],
+    ),
+    (
+        "GET",
+        "/notices",
+        [Behaviour::Refuse, Behaviour::Refuse],
+        REFUSED,
         [1, 1],
     ),
     (
         "GET",
         "/notices",
-        [Does::Nothing, Does::Answer],
-        LATE,
+        [Behaviour::Nothing, Behaviour::Answer],
+        EXPIRED,
+        [1, 0],
+    ),
+    (
+        "POST",
+        "/notices",
+        [Behaviour::Answer, Behaviour::Answer],
+        OK,
+        [1, 0],
+    ),
+    (
+        "POST",
+        "/notices",
+        [Behaviour::Refuse, Behaviour::Answer],
+        OK,
+        [1, 1],
+    ),
+    (
+        "POST",
+        "/notices",
+        [Behaviour::Lose, Behaviour::Answer],
+        LOST,
         [1, 0],
     ),
-    ("POST", "/notices", [Does::Answer, Does::Answer], OK, [1, 0]),
-    ("POST", "/notices", [Does::Refuse, Does::Answer], OK, [1, 1]),
-    ("POST", "/notices", [Does::Lose, Does::Answer], LOST, [1, 0]),
     (
         "post",
         "/notices/7",
-        [Does::Lose, Does::Answer],
+        [Behaviour::Lose, Behaviour::Answer],
         LOST,
         [1, 0],
     ),
     (
         "POST",
         "/x/../notices",
-        [Does::Lose, Does::Answer],
+        [Behaviour::Lose, Behaviour::Answer],
         LOST,
         [1, 0],
     ),
     (
         "POST",
         "/%6eotices",
-        [Does::Lose, Does::Answer],
+        [Behaviour::Lose, Behaviour::Answer],
         LOST,
         [1, 0],
     ),
-    ("POST", "/drafts", [Does::Lose, Does::Answer], OK, [1, 1]),
+    (
+        "POST",
+        "/drafts",
+        [Behaviour::Lose, Behaviour::Answer],
+        OK,
+        [1, 1],
+    ),
     (
         "POST",
         "/notices",
-        [Does::Nothing, Does::Answer],
-        LATE,
+        [Behaviour::Nothing, Behaviour::Answer],
+        EXPIRED,
         [1, 0],
     ),
 ];
 
-fn ask(world: &mut World, method: &str, path: &str) -> Told {
-    ask_keyed(world, method, path, None)
+fn send_call(world: &mut World, method: &str, path: &str) -> ReceivedEvents {
+    send_keyed_call(world, method, path, None)
 }
 
-fn ask_keyed(world: &mut World, method: &str, path: &str, key: Option<&str>) -> Told {
-    let (caller, told) = (world.caller(), world.told());
+fn send_keyed_call(
+    world: &mut World,
+    method: &str,
+    path: &str,
+    key: Option<&str>,
+) -> ReceivedEvents {
+    let (caller, received) = (world.caller(), world.received());
     let call = ServiceRequest {
         account: "parish".into(),
         service: "board".into(),
@@ -130,16 +184,16 @@
         body: b"body".to_vec(),
         idempotency_key: key.map(IdempotencyKey::from),
     };
-    let sink = Box::new(told.clone());
+    let sink = Box::new(received.clone());
     world.nodes[0].call(CallerCall::Service { caller, call, sink });
-    told
+    received
 }
 
-fn with_replicas(does: [Does; 2]) -> (World, [Rc<Replica>; 2]) {
+fn with_replicas(behaviour: [Behaviour; 2]) -> (World, [Rc<Replica>; 2]) {
     let world = World::new(1, 1, 1);
-    let replicas = does.map(|does| {
+    let replicas = behaviour.map(|behaviour| {
         Rc::new(Replica {
-            does,
+            behaviour,
             calls: Cell::new(0),
             kept: RefCell::default(),
         })
@@ -151,24 +205,24 @@
     (world, replicas)
 }
 
-/// A call to a plain service reaches a second replica only where it may be repeated or the first
-/// one certainly did nothing; a path that hides what it calls counts as not repeatable.
+/// A call to a plain service reaches a second replica only if it may be repeated or the first
+/// replica certainly did nothing. A path that disguises its target counts as not repeatable.
 #[test]
-fn a_call_is_repeated_only_where_it_may_be() {
+fn a_call_is_repeated_only_if_allowed() {
     for case in CASES {
-        let (method, path, does, end, calls) = *case;
-        let (mut world, replicas) = with_replicas(does);
-        let told = ask(&mut world, method, path);
+        let (method, path, behaviour, end, calls) = *case;
+        let (mut world, replicas) = with_replicas(behaviour);
+        let received = send_call(&mut world, method, path);
         world.run_for(5_100);
-        let error = told.error().map(|error| (error.verdict, error.kind));
-        assert_eq!(error, end, "{case:?}: {}", told.brief());
+        let error = received.error().map(|error| (error.verdict, error.kind));
+        assert_eq!(error, end, "{case:?}: {}", received.summary());
         assert_eq!(
             replicas.each_ref().map(|r| r.calls.get()),
             calls,
             "{case:?}"
         );
         if end == OK {
-            let last = told.all().pop();
+            let last = received.all().pop();
             assert!(
                 matches!(last, Some(CallerEvent::Service { status: 201, .. })),
                 "{case:?}"
@@ -177,51 +231,63 @@
     }
 }
 
-/// No replica takes a call, or each breaks: its caller hears when to come back, but not of a call
-/// that may have run and may not be repeated.
+/// Every replica refuses a call, or its connection breaks. The caller receives a retry delay,
+/// except for a call that may have run and may not be repeated.
 #[test]
-fn a_failed_call_says_when_to_come_back() {
-    for (method, does, comes_back) in [
-        ("GET", Does::Refuse, true),
-        ("GET", Does::Lose, true),
-        ("POST", Does::Refuse, true),
-        ("POST", Does::Lose, false),
+fn a_failed_call_carries_a_retry_delay() {
+    for (method, behaviour, expects_retry_delay) in [
+        ("GET", Behaviour::Refuse, true),
+        ("GET", Behaviour::Lose, true),
+        ("POST", Behaviour::Refuse, true),
+        ("POST", Behaviour::Lose, false),
     ] {
-        let (mut world, _) = with_replicas([does, does]);
-        let told = ask(&mut world, method, "/notices");
+        let (mut world, _) = with_replicas([behaviour, behaviour]);
+        let received = send_call(&mut world, method, "/notices");
         world.run_for(100);
-        let error = told.error().expect("it failed");
-        let told_when = error.retry_after_ms.is_some();
-        assert_eq!(told_when, comes_back, "{method}, {does:?}");
+        let error = received.error().expect("the request failed");
+        let has_retry_delay = error.retry_after_ms.is_some();
+        assert_eq!(
+            has_retry_delay, expects_retry_delay,
+            "{method}, {behaviour:?}"
+        );
     }
 }
 
-/// A keyed call's answer is lost: its key stays held, and the caller's retry hears "may have run"
-/// instead of posting a second notice. A call that no replica took frees its key.
+/// The answer to a call with a key is lost: the key stays held, and the caller's retry receives
+/// "may have run" instead of posting a second notice. A call that no replica accepted releases its
+/// key.
 #[test]
 fn a_keyed_call_runs_at_most_once() {
-    for (does, held) in [(Does::Lose, 1), (Does::Answer, 1), (Does::Refuse, 0)] {
-        let (mut world, replicas) = with_replicas([does, does]);
-        ask_keyed(&mut world, "POST", "/notices", Some("k"));
+    for (behaviour, held) in [
+        (Behaviour::Lose, 1),
+        (Behaviour::Answer, 1),
+        (Behaviour::Refuse, 0),
+    ] {
+        let (mut world, replicas) = with_replicas([behaviour, behaviour]);
+        send_keyed_call(&mut world, "POST", "/notices", Some("k"));
         world.run_for(100);
-        assert_eq!(world.claims.held.borrow().len(), held, "{does:?}");
+        assert_eq!(world.claims.held.borrow().len(), held, "{behaviour:?}");
         let before = replicas[0].calls.get();
-        let again = ask_keyed(&mut world, "POST", "/notices", Some("k"));
+        let again = send_keyed_call(&mut world, "POST", "/notices", Some("k"));
         world.run_for(100);
         let conflict = again.error().is_some_and(|e| e.kind == ErrorKind::Conflict);
-        assert_eq!(conflict, held == 1, "{does:?}: {}", again.brief());
-        assert_eq!(replicas[0].calls.get() == before, held == 1, "{does:?}");
+        assert_eq!(conflict, held == 1, "{behaviour:?}: {}", again.summary());
+        assert_eq!(
+            replicas[0].calls.get() == before,
+            held == 1,
+            "{behaviour:?}"
+        );
     }
 }
 
-/// A keyed call is cancelled, and its answer comes afterwards: the key's holder is known to have
-/// run from then on.
+/// A call with a key is cancelled, and its answer arrives afterwards: from then on the key's holder
+/// is known to have run.
 #[test]
 fn an_answer_after_the_end_settles_the_key() {
-    let (mut world, replicas) = with_replicas([Does::Nothing, Does::Nothing]);
-    let told = ask_keyed(&mut world, "POST", "/notices", Some("k"));
+    let (mut world, replicas) = with_replicas([Behaviour::Nothing, Behaviour::Nothing]);
+    let received = send_keyed_call(&mut world, "POST", "/notices", Some("k"));
     world.run_for(10);
-    let request = told.request().expect("admitted");
+    let request = received.request().expect("admitted");
     let account = AccountName::from("parish");
     let reply = Box::new(|_| ());
     world.nodes[0].call(CallerCall::Cancel {
@@ -231,7 +297,8 @@
     });
     world.run_for(10);
     assert!(
-        told.error()
+        received
+            .error()
             .is_some_and(|e| e.verdict == Verdict::MayHaveRun)
     );
     let ret = replicas[0].kept.borrow_mut().pop().expect("called");
@@ -248,43 +315,47 @@
 /// A leaving replica gets no new calls.
 #[test]
 fn a_leaving_replica_gets_no_new_calls() {
-    let (mut world, replicas) = with_replicas([Does::Answer, Does::Answer]);
+    let (mut world, replicas) = with_replicas([Behaviour::Answer, Behaviour::Answer]);
     world.nodes[0].service_leaving("board-0".into());
-    ask(&mut world, "GET", "/a");
+    send_call(&mut world, "GET", "/a");
     world.nodes[0].service_leaving("board-1".into());
-    let told = ask(&mut world, "GET", "/a");
+    let received = send_call(&mut world, "GET", "/a");
     world.run_for(100);
     assert_eq!(replicas.each_ref().map(|r| r.calls.get()), [0, 1]);
-    assert!(told.error().is_some_and(|e| e.verdict == Verdict::NotRun));
+    assert!(
+        received
+            .error()
+            .is_some_and(|e| e.verdict == Verdict::NotRun)
+    );
 }
 
-/// A node is stopped while requests run: new calls are sent away at once with a time to come
-/// back, those under way are answered whole, and only then the node may exit.
+/// A node is stopped while requests run. New calls are refused at once with a retry delay, those
+/// under way are answered completely, and only then the node may exit.
 #[test]
-fn a_planned_stop_cuts_nothing() {
+fn a_drain_cuts_off_no_request() {
     let mut world = World::new(1, 2, 1);
-    let (_, told) = world.complete(0, call("notice", "a notice", 100));
+    let (_, received) = world.complete(0, call("notice", "a notice", 100));
     world.run_for(100);
     let done = Rc::new(Cell::new(false));
     let set = done.clone();
     world.nodes[0].drain(ret_some_do!(move |()| set.set(true)));
     let (_, late) = world.complete(0, call("notice", "too late", 100));
     world.run_for(10);
-    let error = late.error().expect("sent away at once");
+    let error = late.error().expect("refused at once");
     assert_eq!(
         (error.verdict, error.kind),
         (Verdict::NotRun, ErrorKind::Unavailable)
     );
     assert!(error.retry_after_ms.is_some());
-    assert!(!done.get(), "a request is under way");
+    assert!(!done.get(), "the drain ended while a request was under way");
     while !done.get() {
-        assert!(world.now_ms < 10_000, "the drain never ends");
+        assert!(world.now_ms < 10_000, "the drain did not end");
         world.run_for(1);
     }
     assert!(
-        told.is_finished(),
-        "the stop cut a request: {}",
-        told.brief()
+        received.is_finished(),
+        "the drain cut off a request: {}",
+        received.summary()
     );
-    told.check("a notice", 100, 0);
+    received.check("a notice", 100, 0);
 }
--- a/crates/requests/tests/waiting.rs
+++ b/crates/requests/tests/waiting.rs
@@ -1,4 +1,4 @@
-//! Work that waits for an engine: it goes on waiting only while a try may still succeed.
+//! Work that waits for an engine: it waits only as long as a try may still succeed.
 
 mod common;
 
@@ -14,29 +14,29 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// When the class's answers must have ended.
+/// The time by which the class's answers must have ended.
 const END_MS: u64 = 30_000;
-/// How long the class's callers may wait for a first token.
+/// The time within which the class's first token is due.
 const FIRST_TOKEN_MS: u64 = 20_000;
-/// When the engine dies.
-const DEATH_MS: u64 = 300;
+/// The time at which the engine crashes.
+const CRASH_MS: u64 = 300;
 /// The longest pause between two tries, with its jitter.
-const LONGEST_PAUSE_MS: u64 = 4_500;
-/// Within which time a broken stream is given up and goes back to the policy.
-const GIVEN_UP_MS: u64 = 10_000;
+const MAX_PAUSE_MS: u64 = 4_500;
+/// The time within which a broken stream is given up and goes back to the policy.
+const RECOVERY_MS: u64 = 10_000;
 
-/// How often, and when last, work was handed to the policy.
+/// The number of jobs submitted to the policy, and the time of the last one.
 #[derive(Default)]
-struct Seen {
+struct Admissions {
     admits: Cell<u32>,
     last_ms: Cell<u64>,
 }
 
-/// Sends all work to one engine; refuses it from the second time on, where it has a reason.
+/// Sends all work to one engine; with a reason, refuses it from the second time on.
 struct Refusing {
     reason: Option<RefusalReason>,
     queued: Vec<RequestId>,
-    seen: Rc<Seen>,
+    admissions: Rc<Admissions>,
 }
 
 impl Policy for Refusing {
@@ -46,9 +46,9 @@
     fn on_load(&mut self, _: UpstreamId, _: &LoadReport, _: MonoMs) {}
     fn on_cache(&mut self, _: UpstreamId, _: &[CacheEvent], _: bool) {}
     fn admit(&mut self, job: Job, now_ms: MonoMs) -> Result<(), Refusal> {
-        self.seen.admits.set(self.seen.admits.get() + 1);
-        self.seen.last_ms.set(now_ms.0);
-        if let Some(reason) = self.reason.filter(|_| self.seen.admits.get() > 1) {
+        self.admissions.admits.set(self.admissions.admits.get() + 1);
+        self.admissions.last_ms.set(now_ms.0);
+        if let Some(reason) = self.reason.filter(|_| self.admissions.admits.get() > 1) {
             let retry_after_ms = SpanMs(700);
             return Err(Refusal {
                 reason,
@@ -83,36 +83,37 @@
     }
 }
 
-fn world(reason: Option<RefusalReason>) -> (World, Rc<Seen>) {
-    let seen = Rc::new(Seen::default());
+fn world(reason: Option<RefusalReason>) -> (World, Rc<Admissions>) {
+    let admissions = Rc::new(Admissions::default());
     let settings = RequestsSettings::default();
     let world = World::with_policies((1, 1), 7, settings, &|_, _| {
         Box::new(Refusing {
             reason,
             queued: Vec::new(),
-            seen: seen.clone(),
+            admissions: admissions.clone(),
         })
     });
-    (world, seen)
+    (world, admissions)
 }
 
-/// One refusal after the engine's death, and what becomes of the work.
+/// One refusal after the engine's crash, and the expected outcome.
 struct Case {
     reason: RefusalReason,
-    /// Whether the caller has a part of its answer.
-    begun: bool,
+    /// True if the caller has a part of its answer.
+    started: bool,
     verdict: Verdict,
-    /// Between these instants its caller hears that it failed.
+    /// The range of times in which its caller receives the failure.
     ends_ms: std::ops::Range<u64>,
 }
 
 fn cases() -> Vec<Case> {
-    let at_once = DEATH_MS..GIVEN_UP_MS;
-    let by_end = END_MS - LONGEST_PAUSE_MS..END_MS;
-    // The new attempt has as long for a first token as the first one had, from the break on.
-    let by_target = FIRST_TOKEN_MS - LONGEST_PAUSE_MS..FIRST_TOKEN_MS + GIVEN_UP_MS / 2;
+    let at_once = CRASH_MS..RECOVERY_MS;
+    let by_end = END_MS - MAX_PAUSE_MS..END_MS;
+    // From the break on, the new attempt has the same time for its first token as the first
+    // attempt.
+    let by_target = FIRST_TOKEN_MS - MAX_PAUSE_MS..FIRST_TOKEN_MS + RECOVERY_MS / 2;
     let mut cases = Vec::new();
-    for (begun, verdict, in_time) in [
+    for (started, verdict, in_time) in [
         (true, Verdict::Ran, by_end),
         (false, Verdict::MayHaveRun, by_target),
     ] {
@@ -125,7 +126,7 @@
         ] {
             cases.push(Case {
                 reason,
-                begun,
+                started,
                 verdict,
                 ends_ms,
             });
@@ -134,46 +135,58 @@
     cases
 }
 
-/// The engine dies and the policy refuses the work from then on. The caller hears so with the last
-/// try that can come in time, whether it ran and when to come back; it isn't kept waiting for the
-/// deadline behind a try that never comes.
+/// The engine crashes and the policy refuses the work from then on. The caller receives the failure
+/// with the last try that can succeed in time, with the verdict and a retry delay; it does not wait
+/// until the deadline for a try that never happens.
 #[test]
 fn refused_work_waits_only_for_a_try_in_time() {
     for case in cases() {
-        let name = format!("{:?}, begun {}", case.reason, case.begun);
-        let (mut world, seen) = world(Some(case.reason));
-        world.engines[0].freeze_steps(!case.begun);
-        let (_, told) = world.complete(0, call("draft", "a draft", 80));
-        world.run_to(DEATH_MS);
-        assert_eq!(!told.texts().is_empty(), case.begun, "{name}");
+        let name = format!("{:?}, started {}", case.reason, case.started);
+        let (mut world, admissions) = world(Some(case.reason));
+        world.engines[0].freeze_steps(!case.started);
+        let (_, received) = world.complete(0, call("draft", "a draft", 80));
+        world.run_to(CRASH_MS);
+        assert_eq!(!received.texts().is_empty(), case.started, "{name}");
         world.engines[0].clone().kill(&mut world.stakker);
         world.run_to(END_MS + 1);
-        let error = told.error().expect("it failed");
-        let ended_ms = told.ended_ms().expect("it ended");
-        assert!(case.ends_ms.contains(&ended_ms), "{name}: {}", told.brief());
-        assert_eq!(ended_ms, seen.last_ms.get(), "{name}: it was held back");
+        let error = received.error().expect("the request failed");
+        let ended_ms = received.ended_ms().expect("the request ended");
+        assert!(
+            case.ends_ms.contains(&ended_ms),
+            "{name}: {}",
+            received.summary()
+        );
+        assert_eq!(
+            ended_ms,
+            admissions.last_ms.get(),
+            "{name}: the failure was delayed"
+        );
         assert_eq!(error.verdict, case.verdict, "{name}");
         assert_eq!(error.retry_after_ms, Some(SpanMs(700)), "{name}");
         assert!(world.policies_are_empty(), "{name}");
     }
 }
 
-/// The policy sends new work to an engine that is gone, again and again. Its caller hears with the
-/// last try before the deadline that nothing ran, and when to come back.
+/// The policy repeatedly sends new work to an engine that is gone. With the last try before the
+/// deadline its caller receives "not run" and a retry delay.
 #[test]
 fn unsent_work_waits_only_for_a_try_in_time() {
-    let (mut world, seen) = world(None);
+    let (mut world, admissions) = world(None);
     world.nodes[0].engine_gone(common::engine_description(0).name);
-    let (_, told) = world.complete(0, call("draft", "a draft", 80));
+    let (_, received) = world.complete(0, call("draft", "a draft", 80));
     world.run_to(END_MS + 1);
-    let error = told.error().expect("it failed");
-    let ended_ms = told.ended_ms().expect("it ended");
+    let error = received.error().expect("the request failed");
+    let ended_ms = received.ended_ms().expect("the request ended");
     assert!(
-        (END_MS - LONGEST_PAUSE_MS..END_MS).contains(&ended_ms),
+        (END_MS - MAX_PAUSE_MS..END_MS).contains(&ended_ms),
         "{}",
-        told.brief()
+        received.summary()
+    );
+    assert_eq!(
+        ended_ms,
+        admissions.last_ms.get(),
+        "the failure was delayed"
     );
-    assert_eq!(ended_ms, seen.last_ms.get(), "it was held back");
     assert_eq!(error.verdict, Verdict::NotRun);
     assert!(error.retry_after_ms.is_some());
     assert!(world.policies_are_empty());
