--- a/crates/fleet/src/backoff/mod.rs
+++ b/crates/fleet/src/backoff/mod.rs
@@ -30,7 +30,8 @@
 /// The time after its back-off for which a replica stays on trial if nothing is sent to it.
 const TRIAL_EXPIRY_MS: SpanMs = SpanMs(5_000);
 
-/// The time for which an answer asks this node to send the replica no requests.
+/// The content of an answer's request for a pause: the time for which this node is to send the replica no
+/// requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryAfterSignal {
     /// The answer names no time.
@@ -65,7 +66,9 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Backoff {
+    /// The end of the back-off, after which trials begin.
     until_ms: MonoMs,
+    /// The time from which the next trial may be sent.
     next_trial_ms: MonoMs,
 }
 
--- a/crates/fleet/src/budget/mod.rs
+++ b/crates/fleet/src/budget/mod.rs
@@ -1,5 +1,5 @@
-//! Retry budget: limits the number of second attempts that a node may send, so that all nodes
-//! together stay within the operators' limit.
+//! Retry budget: limits the number of *repeats* that a node may send, so that all nodes together stay
+//! within the operators' limit. A repeat is a further attempt at a request.
 //!
 //! Load pattern: when replicas fail or lose answers, every request needs a second attempt at once,
 //! and the second attempts would double the load on the replicas that are left.
@@ -23,7 +23,7 @@
 /// return without being known yet, and that take a part as well.
 const ALLOWANCE_USED_SHARE: f64 = 0.6;
 
-/// Limits that the operators set for all nodes together.
+/// Limits on repeats that the operators set for all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryLimits {
     /// The number of repeats allowed for each request.
--- a/crates/fleet/src/engine/mod.rs
+++ b/crates/fleet/src/engine/mod.rs
@@ -13,7 +13,7 @@
 pub struct EngineSpec {
     /// The highest number of requests that run at once.
     pub slots: u32,
-    /// The memory, in tokens.
+    /// The memory of one engine, as the number of tokens of prompts and answers that it can hold.
     pub memory_tokens: Tokens,
     /// The base time of a step.
     pub step_ms: f64,
@@ -29,7 +29,7 @@
     pub chunk_tokens: Tokens,
     /// The number of steps of a pass that has writers.
     pub stride: u32,
-    /// The time that reading in parts adds to each step of the writer.
+    /// The time that reading in parts adds to each step of the writer. No cost here depends on it.
     pub hop_ms: f64,
 }
 
--- a/crates/fleet/src/fanout/mod.rs
+++ b/crates/fleet/src/fanout/mod.rs
@@ -56,8 +56,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GossipKind {
     /// A report of a recent event. It isn't sent to silent peers. It is sent to peers that only announced
-    /// themselves: after a start of all nodes they would otherwise place work onto each other's until the
-    /// next digests.
+    /// themselves: after a start of all nodes they would otherwise place work without knowing of each
+    /// other's until the next digests.
     Change,
     /// A list of all work in flight. It is sent to all peers, so that a healed partition is noticed on
     /// both sides. The draw selects the relays.
--- a/crates/fleet/src/freshness/mod.rs
+++ b/crates/fleet/src/freshness/mod.rs
@@ -17,7 +17,7 @@
     at_ms: MonoMs,
 }
 
-/// The version in force and the newest known one.
+/// Tracks the version in force and the newest known one, and the time for which the node has been behind.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConfigFreshness {
     in_force: Option<Since>,
@@ -26,7 +26,7 @@
     reported: bool,
 }
 
-/// The ages of both versions, and the lag of the node.
+/// The ages of the version in force and of the newest known one, and the node's lag.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConfigAges {
     /// The newest known version.
@@ -39,7 +39,7 @@
     pub behind_ms: SpanMs,
 }
 
-/// The lag of a node that has been behind for long.
+/// A lag that is long enough to be reported in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConfigLag {
     /// The version in force.
@@ -52,7 +52,7 @@
 
 impl ConfigFreshness {
     /// Records that a version was read, or that a peer named it. Returns true if it is newer than all
-    /// before.
+    /// versions known before.
     pub fn on_known(&mut self, version: ConfigVersion, now_ms: MonoMs) -> bool {
         if self.newest.is_some_and(|newest| newest.version >= version) {
             return false;
--- a/crates/fleet/src/leaving/mod.rs
+++ b/crates/fleet/src/leaving/mod.rs
@@ -4,8 +4,8 @@
 //! for longer than the replica may still get requests. Each answer of the replica reports the same.
 //!
 //! Reason for the limits: a replica that leaves doesn't stay, so its report applies to its whole run,
-//! whatever an earlier entry says. A later start of it has another key. A node repeats to its peers what
-//! it received for some seconds, so that a lost datagram does no harm.
+//! whatever an earlier entry says. A later start of it has another key. A node that received such a
+//! report repeats it to its peers for some seconds, so that a lost datagram does no harm.
 //!
 //! Invariants: a report is forgotten only once the replica's entry has been gone for long.
 
@@ -21,7 +21,7 @@
 /// may return.
 const RETENTION_MS: SpanMs = SpanMs(600_000);
 
-/// The maximum number of remembered replicas. Peers may name any keys.
+/// The maximum number of remembered replicas. It bounds the memory, since peers may name any keys.
 const MAX_REPLICAS: usize = 8_192;
 
 /// The source of a report that a replica leaves.
@@ -34,6 +34,7 @@
 #[derive(Clone, Copy, Debug)]
 struct LeavingReplica {
     source: ReportSource,
+    /// The time at which this node first received the report.
     since_ms: MonoMs,
     /// The time at which it was last listed.
     listed_ms: MonoMs,
@@ -72,7 +73,7 @@
         self.0.contains_key(&key)
     }
 
-    /// Returns the replicas of which peers must be notified again.
+    /// Returns the replicas whose reports this node repeats to its peers.
     pub fn to_notify(&self, now_ms: MonoMs) -> Vec<ReplicaKey> {
         let reported = self.0.iter().filter(|(_, replica)| {
             replica.source == ReportSource::Answer && now_ms.since(replica.since_ms) < NOTIFY_FOR_MS
--- a/crates/fleet/src/ledger/mod.rs
+++ b/crates/fleet/src/ledger/mod.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// All work in flight.
+/// All work in flight, of this node and as reported by its peers, and the load of each engine.
 #[derive(Debug, Default)]
 pub struct Ledger {
     works: FxHashMap<OwnerId, FxHashMap<u32, Work>>,
--- a/crates/fleet/src/ledger/queue.rs
+++ b/crates/fleet/src/ledger/queue.rs
@@ -28,7 +28,7 @@
     pub left_ms: f64,
 }
 
-/// The queue of one engine.
+/// The parts of prompts that one engine still has to read, in the order in which it reads them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReadQueue {
     parts: Vec<QueuedPart>,
--- a/crates/fleet/src/ledger/verify.rs
+++ b/crates/fleet/src/ledger/verify.rs
@@ -12,7 +12,7 @@
     /// The stored load of an engine isn't the sum of its work.
     #[error("engine {key} is stored as {stored:?}, but its work adds up to {recomputed:?}")]
     Load {
-        /// The engine.
+        /// The key of the engine.
         key: ReplicaKey,
         /// The stored load.
         stored: Box<Load>,
@@ -22,9 +22,9 @@
     /// A queue contains a part of work that is unknown or already read.
     #[error("a part of {work:?} is queued at engine {key}, but that work is at stage {stage:?}")]
     Part {
-        /// The engine.
+        /// The key of the engine.
         key: ReplicaKey,
-        /// The work.
+        /// The id of the work that the part belongs to.
         work: WorkId,
         /// The stage of the work, or `None` if it is unknown.
         stage: Option<Stage>,
--- a/crates/fleet/src/limit/allowance.rs
+++ b/crates/fleet/src/limit/allowance.rs
@@ -1,8 +1,8 @@
 //! The token bucket that bounds what one node sends to a replica with a limit.
 //!
-//! Invariants: a bucket starts empty, so that nodes that take over a limit, from each other or from
-//! nobody, don't all send at once. Over any span, the requests allowed are at most the rate times the
-//! span, plus the depth of the bucket.
+//! Invariants: a bucket starts empty, so that nodes that begin to use a limit, which other nodes may have
+//! used before, don't all send at once. Over any span, the requests allowed are at most the rate times
+//! the span, plus the depth of the bucket.
 
 use bluebell_base::prelude::*;
 
--- a/crates/fleet/src/limit/mod.rs
+++ b/crates/fleet/src/limit/mod.rs
@@ -4,11 +4,12 @@
 //! nodes together. Its answers repeat the limit for as long as it applies, and the first answer
 //! without it ends it. A node *holds* a limit if it may send a part of it.
 //!
-//! Load pattern: an engine that accepts one request a second stands among others, and each of hundreds
-//! of nodes finds it idle. Only the node that sent a request last has received the limit.
+//! Load pattern: one engine among others accepts one request a second, and each of hundreds of nodes
+//! finds it idle. Only the node that sent a request last has received the limit.
 //!
-//! Reason for the limits: see [`Nodes`] and its module. Everything that reaches a replica counts
-//! against its limit: requests, parts of prompts that are read there, probes and orders.
+//! Reason for the limits: see the module `share`, which divides a limit among the nodes. Everything that
+//! reaches a replica counts against its limit: requests, parts of prompts that are read there, probes and
+//! orders.
 //!
 //! Invariants: a limit belongs to one run of a replica. An unreadable limit changes nothing. A report
 //! that is older than what is known changes nothing.
@@ -29,8 +30,9 @@
 
 use crate::replicas::ReplicaKey;
 
-/// The time after which a node that doesn't hold a limit drops it if it received no report of it. Holders
-/// report a limit at least once a second, so after this time none of them knows of it.
+/// The time after which a node that doesn't hold a limit drops it if it received no report of it. The
+/// nodes that announce a limit repeat it at least once a second, so after this time none of them knows of
+/// it.
 const UNREPORTED_EXPIRY_MS: SpanMs = SpanMs(10_000);
 
 /// The time for which the end of a limit is remembered and reported. Older gossip of the limit takes less
@@ -129,7 +131,7 @@
     announces: bool,
 }
 
-/// All known limits of replicas.
+/// The limits of all replicas that have one, as far as this node knows, and this node's share of each.
 #[derive(Debug, Default)]
 pub struct Limits {
     known: FxHashMap<ReplicaKey, Limit>,
--- a/crates/fleet/src/limit/notice.rs
+++ b/crates/fleet/src/limit/notice.rs
@@ -7,7 +7,7 @@
 /// A replica's limit, or the end of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitNotice {
-    /// The replica.
+    /// The key of the replica that set the limit.
     pub replica: ReplicaKey,
     /// The requests a second that it accepts from all nodes together, or `None` if it has no limit any
     /// more.
--- a/crates/fleet/src/limit/share.rs
+++ b/crates/fleet/src/limit/share.rs
@@ -27,7 +27,7 @@
 /// may be lost unnoticed.
 const ANNOUNCERS: usize = 2;
 
-/// The nodes of the fleet, as one of them sees them.
+/// The nodes among which limits are divided, as far as this node knows them.
 #[derive(Clone, Copy, Debug)]
 pub struct Nodes<'a> {
     /// This node.
@@ -38,7 +38,7 @@
     pub known: usize,
 }
 
-/// The part of a node in a limit.
+/// One node's share of the limit that a replica set.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Share {
     /// The rate at which the node may send; zero if it doesn't hold the limit.
--- a/crates/fleet/src/limit/signal.rs
+++ b/crates/fleet/src/limit/signal.rs
@@ -2,7 +2,7 @@
 
 use bluebell_base::prelude::*;
 
-/// The limit in one answer of a replica.
+/// The statement of one answer about the rate of requests that its replica accepts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LimitSignal {
     /// The replica accepts this rate from all nodes together.
--- a/crates/fleet/src/long_poll/mod.rs
+++ b/crates/fleet/src/long_poll/mod.rs
@@ -21,7 +21,8 @@
 /// same network failure.
 const MIN_PEERS: usize = 2;
 
-/// Mean time between the reads that some node of the fleet begins: a fifth of the two seconds.
+/// Mean time between the reads that some node of the fleet begins: a fifth of the two seconds that
+/// the users allow.
 const FLEET_READ_INTERVAL_MS: u64 = 400;
 
 /// Shortest timeout at a node that has live peers.
--- a/crates/fleet/src/placement/estimate.rs
+++ b/crates/fleet/src/placement/estimate.rs
@@ -57,7 +57,9 @@
 /// A request, with the values that are the same for all engines.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RequestProfile<'a> {
+    /// The configured figures of the service's engines.
     pub spec: &'a EngineSpec,
+    /// The needs of the request.
     pub demand: &'a Demand,
     /// The time that one engine at its configured speed takes to read the prompt alone.
     pub read_ms: f64,
@@ -140,6 +142,7 @@
 
 /// Estimate of one engine for one request.
 pub(super) struct EngineEstimate<'a> {
+    /// The engine with its load.
     pub candidate: Candidate<'a>,
     /// True if the engine can write the answer.
     can_write: bool,
--- a/crates/fleet/src/placement/mod.rs
+++ b/crates/fleet/src/placement/mod.rs
@@ -124,7 +124,7 @@
     indices.map(move |at| engines[at])
 }
 
-/// Placement of a request.
+/// Engines chosen for a request, and the timing and load on which the choice was based.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
     /// The engine that writes the answer.
--- a/crates/fleet/src/placement/price.rs
+++ b/crates/fleet/src/placement/price.rs
@@ -51,7 +51,7 @@
 /// case then wait, and those that are still on time go first.
 const SLOT_PRICE: f64 = 0.6;
 
-/// Prices at one moment.
+/// Prices of reading time and of a slot, computed from the fleet's load at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Prices {
     /// The price of a ms of reading, in units of weight.
--- a/crates/fleet/src/replicas/health.rs
+++ b/crates/fleet/src/replicas/health.rs
@@ -19,7 +19,7 @@
 /// The weight of the newest answer in the moving failure share: about the last eight answers count.
 const NEWEST_WEIGHT: f32 = 0.12;
 
-/// The failure share above which a replica is doubted. Sound replicas of the users' services fail up
+/// The failure share above which a replica is doubted. Healthy replicas of the users' services fail up
 /// to one call in seven by themselves.
 const DOUBT_FAILURE_SHARE: f32 = 0.32;
 
@@ -45,7 +45,7 @@
 impl Symptom {
     /// Returns the symptom of a replica that has been silent for `waited_ms` and was expected to answer
     /// within `expected_ms`. Some callers leave so little time that no replica could answer. Doubting a
-    /// replica for that took sound ones out of service for seconds.
+    /// replica for that took healthy ones out of service for seconds.
     pub fn of_silence(waited_ms: SpanMs, expected_ms: SpanMs) -> Self {
         match waited_ms >= expected_ms {
             true => Symptom::Silent,
@@ -54,13 +54,19 @@
     }
 }
 
-/// The health of one replica.
+/// The health of one replica: the share of recent attempts that failed, the pause in which it gets no work,
+/// and the requests that it has on trial.
 #[derive(Clone, Debug)]
 pub struct Health {
     failure_share: f32,
+    /// The length of the latest pause; zero if the next failure gets the first pause.
     pause_ms: SpanMs,
+    /// The end of the latest pause, set by this node or a peer. `None` before the first pause, and once a
+    /// good answer has followed it.
     doubted_until_ms: Option<MonoMs>,
+    /// The number of requests on trial that this node has sent and that haven't ended.
     on_trial: u32,
+    /// The time of the last mismatched answer.
     mismatched_at_ms: Option<MonoMs>,
 }
 
--- a/crates/fleet/src/replicas/replica.rs
+++ b/crates/fleet/src/replicas/replica.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// The state of a replica.
+/// The state that a replica's entry in the directory reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaState {
     /// The replica accepts work.
@@ -74,7 +74,7 @@
     pub domain: DomainName,
     /// The maximum number of requests that it runs at once.
     pub slots: u32,
-    /// The state that its entry reports.
+    /// The state: ready for work, or draining.
     pub state: ReplicaState,
 }
 
--- a/crates/fleet/src/replicas/table.rs
+++ b/crates/fleet/src/replicas/table.rs
@@ -53,7 +53,7 @@
     kept: bool,
 }
 
-/// All known replicas.
+/// All known replicas with their health, kept up to date by the directory's changes.
 #[derive(Debug, Default)]
 pub struct ReplicaTable {
     /// The replicas whose answers reported that they leave.
@@ -88,8 +88,8 @@
         self.directory_away = false;
     }
 
-    /// Records that the directory came back from an older copy. Replicas that began since then are missing
-    /// until they write their entries again, and some that left are listed.
+    /// Records that the directory came back from an older copy. Replicas that started after the copy was
+    /// made are missing until they write their entries again, and some that left are listed.
     pub fn on_directory_renewed(&mut self, now_ms: MonoMs) {
         self.directory_back_ms = Some(now_ms);
         self.renewed_at_ms = Some(now_ms);
@@ -319,7 +319,7 @@
         at_address.any(|known| known.instance != replica.instance)
     }
 
-    /// Returns the replica of a configured service at `address`.
+    /// Returns the key of the replica of a configured service at `address`, or `None` if none is known.
     pub fn at(&self, address: SocketAddr) -> Option<ReplicaKey> {
         let mut rows = self.rows.iter();
         let found = rows.find(|(_, row)| {
@@ -328,17 +328,17 @@
         found.map(|(key, _)| *key)
     }
 
-    /// Returns the replica with this key.
+    /// Returns the replica with this key, or `None` if it isn't known.
     pub fn get(&self, key: ReplicaKey) -> Option<&Arc<Replica>> {
         self.rows.get(&key).map(|row| &row.replica)
     }
 
-    /// Returns the health of a replica.
+    /// Returns the health of a replica, or `None` if the replica isn't known.
     pub fn health(&self, key: ReplicaKey) -> Option<&Health> {
         self.rows.get(&key).map(|row| &row.health)
     }
 
-    /// Returns the health of a replica for changes.
+    /// Returns the health of a replica, to be changed, or `None` if the replica isn't known.
     pub fn health_mut(&mut self, key: ReplicaKey) -> Option<&mut Health> {
         self.rows.get_mut(&key).map(|row| &mut row.health)
     }
--- a/crates/fleet/src/serving/mod.rs
+++ b/crates/fleet/src/serving/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::engine::EngineSpec;
 
-/// Kind of a route: the form of its answers, and whether its requests may be repeated.
+/// Kind of a route: the form of its answers, and the condition on which its requests may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RouteKind {
     /// One answer; the request is idempotent.
@@ -46,7 +46,7 @@
     pub weight: u32,
 }
 
-/// One route.
+/// The mapping of a host and a path prefix to services, with the targets and limits of its requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// The operators' name for the route.
@@ -71,18 +71,19 @@
     pub public: bool,
 }
 
-/// One service.
+/// A set of replicas that serve the same requests, as the operators configured it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// The name of the service.
     pub name: ServiceName,
-    /// The highest number of connections that one replica accepts from all callers together.
+    /// The highest number of connections that one replica accepts from all callers together. Nodes don't
+    /// enforce it.
     pub max_connections: u32,
     /// The figures of its engines; `None` for a plain service.
     pub engine: Option<EngineSpec>,
 }
 
-/// A client account.
+/// A client account, to which callers are assigned by their keys.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Account {
     /// The name of the account.
@@ -98,13 +99,14 @@
     pub head_bytes: Bytes,
     /// The largest body of a request.
     pub body_bytes: Bytes,
-    /// The longest time that a head may take to arrive.
+    /// The longest time that a head may take to arrive. Nodes don't enforce it; the idle timeout also covers
+    /// the arrival of a head.
     pub head_timeout_ms: SpanMs,
     /// The longest time that a connection without a request is kept.
     pub idle_timeout_ms: SpanMs,
 }
 
-/// Result of a lookup of a route.
+/// Result of looking up the route of a request by its host and path.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RouteLookup {
     /// The route of the request.
@@ -113,7 +115,7 @@
     Unknown,
 }
 
-/// One version of the configuration.
+/// One version of the operators' configuration: its routes, services, client accounts and limits.
 #[derive(Clone, Debug)]
 pub struct ServingConfig {
     version: ConfigVersion,
@@ -137,7 +139,7 @@
         }
     }
 
-    /// Adds a route.
+    /// Adds a route. It replaces a route with the same host and prefix.
     pub fn add_route(&mut self, route: Route) {
         let host = self.routes.entry(route.host.clone()).or_default();
         host.insert(route.path_prefix.clone(), Arc::new(route));
@@ -214,7 +216,8 @@
 }
 
 impl Route {
-    /// Chooses the service for a request by `draw`, a random number spread evenly over `u32`.
+    /// Chooses the service for a request by `draw`, a random number spread evenly over `u32`. Returns
+    /// `None` if the route has no services.
     pub fn service(&self, draw: u32) -> Option<&ServiceName> {
         let total: u64 = self.splits.iter().map(|s| u64::from(s.weight)).sum();
         if total == 0 {
--- a/crates/fleet/src/stopping/mod.rs
+++ b/crates/fleet/src/stopping/mod.rs
@@ -46,7 +46,7 @@
         self.began_ms + SpanMs(self.grace_ms.0.saturating_sub(GRACE_MARGIN_MS.0))
     }
 
-    /// Returns true if a request that may last until `deadline_ms` is accepted.
+    /// Returns true if the stopping node still accepts a request that may last until `deadline_ms`.
     pub fn accepts(&self, deadline_ms: MonoMs, now_ms: MonoMs) -> bool {
         now_ms < self.notice_end_ms() || deadline_ms < self.end_ms()
     }
