--- a/crates/quarantine/src/detection/mod.rs
+++ b/crates/quarantine/src/detection/mod.rs
@@ -1,4 +1,4 @@
-//! The decision whether a request caused the crashes of the servers that it was on.
+//! Decides if a request caused the crashes of the servers that it was on.
 //!
 //! Load pattern: a server that crashes may have as many requests as it has slots, and one of them may be
 //! the cause. Racks and networks fail as well, and take down many servers with all requests on them.
@@ -77,7 +77,9 @@
 
 /// Judges requests by the crashes that are known at one time.
 pub(crate) struct Detector<'a> {
+    /// The crashes of all servers, whatever requests they had.
     pub runs: &'a CrashedRuns,
+    /// The time from which the ages of crashes are counted back.
     pub now_ms: MonoMs,
 }
 
--- a/crates/quarantine/src/digest/mod.rs
+++ b/crates/quarantine/src/digest/mod.rs
@@ -27,7 +27,7 @@
     pub host: &'a str,
     /// The path with the query.
     pub target: &'a str,
-    /// The whole body.
+    /// The whole body of the request.
     pub body: &'a [u8],
 }
 
--- a/crates/quarantine/src/evidence/mod.rs
+++ b/crates/quarantine/src/evidence/mod.rs
@@ -8,9 +8,9 @@
 pub struct ServerRun(pub u32);
 
 impl ServerRun {
-    /// The smallest number.
+    /// The lowest possible number, used as the lower bound when runs are searched by time.
     pub(crate) const FIRST: Self = Self(0);
-    /// The largest number.
+    /// The highest possible number, used as the upper bound when runs are searched by time.
     pub(crate) const LAST: Self = Self(u32::MAX);
 }
 
--- a/crates/quarantine/src/record/mod.rs
+++ b/crates/quarantine/src/record/mod.rs
@@ -1,4 +1,5 @@
-//! The record of one request: its crashes, its quarantine and its last success.
+//! The record of one request: its crashes, its quarantine and its last clearing, by a success or by an
+//! operator.
 
 use crate::evidence::{Evidence, ServerRun};
 use crate::table::Term;
@@ -14,8 +15,11 @@
 /// A crash of a server that had the request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Crash {
+    /// The run of the server that crashed.
     pub run: ServerRun,
+    /// The state of the request on that server.
     pub evidence: Evidence,
+    /// The time of the crash, by this node's clock.
     pub at_ms: MonoMs,
     /// True if this node observed the crash itself.
     pub own: bool,
@@ -24,8 +28,11 @@
 /// The quarantine of one request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct QuarantineState {
+    /// The time at which the current term began.
     pub since_ms: MonoMs,
+    /// The current term, at the end of which comes a review.
     pub term: Term,
+    /// The start of the latest trial of the current term, or `None` if this node began none.
     pub trial_at_ms: Option<MonoMs>,
 }
 
@@ -42,10 +49,11 @@
     }
 }
 
-/// The record of one request.
+/// The crashes, the quarantine and the last clearing of one request, as this node knows them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Record {
     crashes: Vec<Crash>,
+    /// The quarantine, or `None` if the request isn't in quarantine.
     pub quarantine: Option<QuarantineState>,
     /// The time of the last clearing, and whether this node cleared it itself. Nothing from before that
     /// time counts.
@@ -100,7 +108,7 @@
         self.cleared.take_if(long_cleared);
     }
 
-    /// Returns the crashes.
+    /// Returns the known crashes, in the order in which this node learned of them.
     pub fn crashes(&self) -> &[Crash] {
         &self.crashes
     }
--- a/crates/quarantine/src/review/mod.rs
+++ b/crates/quarantine/src/review/mod.rs
@@ -6,8 +6,8 @@
 
 /// Returns true if the node `own` reviews a request, given the `others`, its live peers.
 ///
-/// Nodes with the same live peers agree (rendezvous hashing), so that one arrival is tried in all and not
-/// one at each node. Nodes that receive nothing from each other try one each.
+/// Nodes with the same live peers agree (rendezvous hashing), so that one arrival runs as a trial in the
+/// whole fleet and not one at each node. Nodes that receive nothing from each other run one each.
 pub fn reviews(digest: &RequestDigest, own: u64, others: impl IntoIterator<Item = u64>) -> bool {
     let weight = |node: u64| {
         let mut hasher = FxHasher::default();
--- a/crates/quarantine/src/table/mod.rs
+++ b/crates/quarantine/src/table/mod.rs
@@ -32,7 +32,7 @@
 /// The maximum number of notices repeated at once, so that they fit into a datagram.
 const MAX_REPEATED_NOTICES: usize = 16;
 
-/// The status of a request.
+/// The effect of the quarantine on a request: its arrivals may run, or they are refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineStatus {
     /// The request may be run.
@@ -44,14 +44,14 @@
     },
 }
 
-/// A change of the table.
+/// The effect of a crash, a clearing or a peer's notice on the record of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineChange {
-    /// Nothing changed.
+    /// Nothing changed that callers of the table act on.
     None,
     /// A server crashed under the request.
     Ended {
-        /// True if the request must be judged once the crash is old enough.
+        /// True if the request has enough crashes to be judged once this one is old enough.
         judged: bool,
     },
     /// The request is in quarantine from now on, or for another term.
@@ -296,7 +296,8 @@
         }
     }
 
-    /// Returns the notice of a request that has just been put into quarantine or cleared.
+    /// Returns the notice of a request that has just been put into quarantine or cleared, or `None` if it
+    /// was neither.
     pub fn notice(&self, digest: &RequestDigest, now_ms: MonoMs) -> Option<QuarantineNotice> {
         let record = self.records.get(digest)?;
         if let Some(quarantine) = record.quarantine {
@@ -391,8 +392,8 @@
         records.filter(|record| record.quarantine.is_none()).count()
     }
 
-    /// Removes what doesn't count any more. Returns the requests whose quarantine is removed, because
-    /// none of them arrived for long after its review.
+    /// Removes what doesn't count any more. Returns the requests whose quarantine is removed because no
+    /// trial cleared or confirmed it for long after its review was due.
     pub fn expire(&mut self, now_ms: MonoMs) -> Vec<RequestDigest> {
         let mut forgotten = Vec::new();
         self.runs.expire(now_ms - CRASH_EXPIRY_MS);
--- a/crates/quarantine/src/table/term.rs
+++ b/crates/quarantine/src/table/term.rs
@@ -31,7 +31,8 @@
     /// The term of a request that has had no trial.
     pub const FIRST: Self = Self(0);
 
-    /// The time after its review at which a request that didn't arrive is forgotten.
+    /// The time after its review became due at which a quarantine is forgotten if no trial cleared or
+    /// confirmed it, as when the request didn't arrive again.
     pub const FORGOTTEN_AFTER_MS: SpanMs = SpanMs(86_400_000);
 
     /// Returns the term after a trial that crashed its server.
