--- a/crates/load/src/answer.rs
+++ b/crates/load/src/answer.rs
@@ -1,29 +1,29 @@
-//! The check of one answer: identity, completeness, duplication.
+//! Checks one answer for foreign, repeated and missing tokens.
 //!
-//! Invariants: a token is checked against its position, so that a crossed, repeated or skipped
-//! one is found whatever its neighbours are.
+//! Invariants: each token is compared with the expected token at its position, so that a crossed,
+//! repeated or skipped token is detected whatever its neighbors are.
 
 use bluebell_base::prelude::*;
 use bluebell_upstreams::prompt::{expected_count, expected_token, prompt_hash};
 use serde::Serialize;
 use std::cmp::Ordering;
 
-/// Knows the answer that a prompt must get.
+/// A source of correct answers.
 pub trait Oracle: Send + Sync {
-    /// The right answer to a prompt, where at most `max_tokens` are asked for.
+    /// Returns the correct answer to a prompt if at most `max_tokens` are requested.
     fn answer(&self, prompt: &str, max_tokens: Tokens) -> Box<dyn Expected>;
 }
 
-/// The right answer to one prompt.
+/// The correct answer to one prompt.
 pub trait Expected {
-    /// The token at a position.
+    /// Returns the token at a position.
     fn token(&self, index: u64) -> Arc<str>;
 
-    /// How many tokens the whole answer has.
+    /// Returns the number of tokens in the complete answer.
     fn count(&self) -> u64;
 }
 
-/// Knows the answers of the stand-in engines, which follow from the prompt.
+/// An oracle for the stand-in engines, whose answers are a function of the prompt.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StandInOracle;
 
@@ -52,21 +52,21 @@
     }
 }
 
-/// What is wrong with an answer.
+/// A fault in an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AnswerFault {
-    /// A token is not the one that the prompt must get there.
+    /// A token differs from the expected token at its position.
     Crossed,
-    /// A token came twice.
+    /// A token was received twice.
     Doubled,
     /// Tokens are missing before the end.
     Short,
-    /// An event can't be read.
+    /// An event can't be parsed.
     Malformed,
 }
 
-/// Checks one answer token by token.
+/// A check of one answer, token by token.
 pub struct AnswerCheck {
     expected: Option<Box<dyn Expected>>,
     declared_tokens: Option<u64>,
@@ -75,7 +75,8 @@
 }
 
 impl AnswerCheck {
-    /// Checks the answer to a prompt; without an oracle only its completeness.
+    /// Creates a check of the answer to a prompt. Without an oracle only the answer's completeness
+    /// is checked.
     pub fn new(oracle: Option<&dyn Oracle>, prompt: &str, max_tokens: Tokens) -> Self {
         Self {
             expected: oracle.map(|oracle| oracle.answer(prompt, max_tokens)),
@@ -85,8 +86,8 @@
         }
     }
 
-    /// The next token came.
-    pub fn token(&mut self, text: &str) {
+    /// Checks the next received token.
+    pub fn on_token(&mut self, text: &str) {
         let index = self.count;
         self.count += 1;
         let Some(expected) = &self.expected else {
@@ -96,46 +97,47 @@
             return;
         }
         let repeated = index > 0 && *expected.token(index - 1) == *text;
-        self.note(match repeated {
+        self.record_fault(match repeated {
             true => AnswerFault::Doubled,
             false => AnswerFault::Crossed,
         });
     }
 
-    /// The answer's own count of its tokens came.
-    pub fn declared(&mut self, tokens: u64) {
+    /// Records the token count that the answer itself reports.
+    pub fn on_declared_count(&mut self, tokens: u64) {
         self.declared_tokens = Some(tokens);
     }
 
-    /// The answer was declared whole: its count must be its own and the oracle's.
-    pub fn finished(&mut self) {
-        let right = self.expected.as_ref().map(|expected| expected.count());
-        for wanted in [right, self.declared_tokens].into_iter().flatten() {
+    /// Checks the number of tokens of an answer that was declared complete. It must equal the
+    /// oracle's count and the count that the answer reports.
+    pub fn on_finished(&mut self) {
+        let correct = self.expected.as_ref().map(|expected| expected.count());
+        for wanted in [correct, self.declared_tokens].into_iter().flatten() {
             match self.count.cmp(&wanted) {
-                Ordering::Less => self.note(AnswerFault::Short),
-                Ordering::Greater => self.note(AnswerFault::Doubled),
+                Ordering::Less => self.record_fault(AnswerFault::Short),
+                Ordering::Greater => self.record_fault(AnswerFault::Doubled),
                 Ordering::Equal => {}
             }
         }
     }
 
-    /// An event could not be read.
-    pub fn malformed(&mut self) {
-        self.note(AnswerFault::Malformed);
+    /// Records an event that could not be parsed.
+    pub fn on_malformed(&mut self) {
+        self.record_fault(AnswerFault::Malformed);
     }
 
-    /// How many tokens came.
+    /// Returns the number of tokens received.
     pub fn count(&self) -> u64 {
         self.count
     }
 
-    /// The first fault found.
+    /// Returns the first fault found.
     pub fn fault(&self) -> Option<AnswerFault> {
         self.fault
     }
 
-    /// Keeps the first fault: the later ones often follow from it.
-    fn note(&mut self, fault: AnswerFault) {
+    /// Records a fault. Only the first is kept, since later ones often follow from it.
+    fn record_fault(&mut self, fault: AnswerFault) {
         self.fault.get_or_insert(fault);
     }
 }
--- a/crates/load/src/balancer.rs
+++ b/crates/load/src/balancer.rs
@@ -1,33 +1,34 @@
-//! Chooses a node for each call, as the platform's balancer would: in turn, skipping those that
+//! Selects a node for each call as the platform's load balancer does: in turn, without those that
 //! are not ready.
 //!
-//! Invariants: where no node is ready, the next in turn is given all the same, so a call is never
-//! stuck here.
+//! Invariants: if no node is ready, the next in turn is selected nevertheless, so that a call never
+//! blocks here.
 
 use bluebell_base::prelude::*;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Where a node says whether it takes new work.
+/// The path at which a node reports whether it accepts new work.
 const READY_PATH: &str = "/readyz";
 
-/// How long a probe may take.
+/// The timeout for a readiness probe.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// One node's address and whether it was last seen ready.
+/// The address of one node and its readiness as last observed.
 struct Target {
     address: Address,
     ready: AtomicBool,
 }
 
-/// The nodes, used in turn.
+/// A round-robin selection of nodes.
 pub struct Balancer {
     targets: Vec<Target>,
     next: AtomicUsize,
 }
 
 impl Balancer {
-    /// All nodes count as ready until seen otherwise.
+    /// Creates a balancer for these nodes. All count as ready until a call or probe shows
+    /// otherwise.
     pub fn new(addresses: &[Address]) -> Self {
         let target = |address: &Address| Target {
             address: address.clone(),
@@ -39,12 +40,13 @@
         }
     }
 
-    /// How many nodes there are.
+    /// Returns the number of nodes.
     pub fn len(&self) -> usize {
         self.targets.len()
     }
 
-    /// The next ready node in turn; `avoid` only where no other is ready.
+    /// Returns the next ready node in turn other than `avoid`. If there is none, returns the next
+    /// one in turn other than `avoid`, or `avoid` itself if it is the only node.
     pub fn next(&self, avoid: Option<&Address>) -> Address {
         let start = self.next.fetch_add(1, Ordering::Relaxed);
         let in_turn = || (0..self.len()).map(|i| &self.targets[(start + i) % self.len()]);
@@ -58,8 +60,8 @@
         chosen.address.clone()
     }
 
-    /// A node refused a connection; it is skipped until a probe finds it ready.
-    pub fn refused(&self, address: &Address) {
+    /// Records that a node refused a connection. It is skipped until a probe finds it ready.
+    pub fn on_refused(&self, address: &Address) {
         let found = self
             .targets
             .iter()
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Asks every node whether it is ready.
+    /// Probes the readiness of every node.
     pub fn probe(&self, agent: &ureq::Agent) {
         for target in &self.targets {
             let url = format!("http://{}{READY_PATH}", target.address);
@@ -79,7 +81,7 @@
                 .timeout_global(Some(PROBE_TIMEOUT))
                 .build()
                 .call();
-            // A server without that path has no notion of readiness and counts as ready.
+            // A server without this path doesn't report readiness and counts as ready.
             let ready =
                 answer.is_ok_and(|answer| matches!(answer.status().as_u16(), 200..300 | 404));
             target.ready.store(ready, Ordering::Relaxed);
--- a/crates/load/src/client.rs
+++ b/crates/load/src/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client of a run, and what a call through it came to.
+//! The HTTP client of a run and the classification of its call results.
 
 use crate::plan::LoadPlan;
 use std::io;
@@ -6,10 +6,10 @@
 use ureq::Body;
 use ureq::http::Response;
 
-/// How long a connection to a node may take.
+/// The timeout for a connection to a node.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The HTTP client of a run.
+/// Creates the HTTP client of a run.
 pub fn agent(plan: &LoadPlan) -> ureq::Agent {
     let patience = Duration::from(plan.patience_ms);
     ureq::Agent::config_builder()
@@ -25,26 +25,26 @@
         .new_agent()
 }
 
-/// What one call came to.
-pub enum Called {
-    /// An answer whose body follows.
+/// The result of one call.
+pub enum CallResult {
+    /// An answer whose body is still to be read.
     Answer(Box<Response<Body>>),
-    /// The node refused the connection: nothing was sent.
+    /// The node refused the connection, so nothing was sent.
     Refused,
-    /// The connection broke before an answer.
+    /// The connection broke before an answer; contains the error text.
     Broken(String),
 }
 
-/// Sorts what a call came to.
-pub fn called(result: Result<Response<Body>, ureq::Error>) -> Called {
+/// Classifies the result of a call.
+pub fn classify_result(result: Result<Response<Body>, ureq::Error>) -> CallResult {
     match result {
-        Ok(answer) => Called::Answer(Box::new(answer)),
-        Err(error) if was_refused(&error) => Called::Refused,
-        Err(error) => Called::Broken(error.to_string()),
+        Ok(answer) => CallResult::Answer(Box::new(answer)),
+        Err(error) if was_refused(&error) => CallResult::Refused,
+        Err(error) => CallResult::Broken(error.to_string()),
     }
 }
 
-/// Whether a call failed before anything was sent.
+/// Returns true if a call failed before anything was sent.
 fn was_refused(error: &ureq::Error) -> bool {
     match error {
         ureq::Error::Io(error) => error.kind() == io::ErrorKind::ConnectionRefused,
--- a/crates/load/src/direct.rs
+++ b/crates/load/src/direct.rs
@@ -1,4 +1,4 @@
-//! Calls an engine over HTTP without the system between.
+//! Calls an engine over HTTP without the system in between.
 
 use crate::plan::DirectEngine;
 use crate::sse::EventReader;
@@ -8,16 +8,16 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Where an engine begins an answer.
+/// The path at which an engine starts an answer.
 const GENERATE_PATH: &str = "/v1/generate";
 
-/// How long a connection to an engine may take.
+/// The timeout for a connection to an engine.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long an engine keeps a stream that this process no longer reads.
+/// The time for which an engine keeps a stream that this process no longer reads.
 const HOLD_MS: SpanMs = SpanMs(1_000);
 
-/// Engines reached over HTTP, used in turn.
+/// A client that calls engines over HTTP in turn.
 #[derive(Debug)]
 pub struct HttpDirectEngine {
     addresses: Vec<Address>,
@@ -29,7 +29,8 @@
 }
 
 impl HttpDirectEngine {
-    /// Calls the engines at `addresses`; `owner` must be no node's incarnation.
+    /// Creates a client for the engines at `addresses`. `owner` must not be the incarnation of any
+    /// node.
     pub fn open(
         addresses: Vec<Address>,
         model: ModelName,
@@ -87,22 +88,24 @@
         let call = self.call(sequence, prompt, max_tokens);
         let url = format!("http://{address}{GENERATE_PATH}");
         let answer = self.agent.post(url).send_json(&call);
-        let mut answer = answer.map_err(|error| broken(error.to_string()))?;
+        let mut answer = answer.map_err(|error| engine_error(error.to_string()))?;
         if !answer.status().is_success() {
             let status = answer.status();
             let text = answer.body_mut().read_to_string().unwrap_or_default();
             let refusal = serde_json::from_str(&text);
-            return Err(refusal.unwrap_or_else(|_| broken(format!("the engine answered {status}"))));
+            return Err(
+                refusal.unwrap_or_else(|_| engine_error(format!("the engine answered {status}")))
+            );
         }
         let body = answer.into_body().into_reader();
         let mut events = EventReader::new(BufReader::new(body));
         loop {
             let event = events
                 .next_event()
-                .map_err(|error| broken(error.to_string()))?;
-            let event = event.ok_or_else(|| broken("the stream ended early".into()))?;
+                .map_err(|error| engine_error(error.to_string()))?;
+            let event = event.ok_or_else(|| engine_error("the stream ended early".into()))?;
             let event: Event = serde_json::from_str(&event.data)
-                .map_err(|error| broken(format!("an event can't be read: {error}")))?;
+                .map_err(|error| engine_error(format!("an event can't be read: {error}")))?;
             match event.body {
                 EventBody::Accepted { .. } => {}
                 EventBody::Token { .. } => on_token(),
@@ -113,7 +116,7 @@
     }
 }
 
-fn broken(text: String) -> Error {
+fn engine_error(text: String) -> Error {
     Error::may_have_run(
         ErrorKind::Upstream,
         format!("engine called directly: {text}"),
--- a/crates/load/src/exchange.rs
+++ b/crates/load/src/exchange.rs
@@ -1,13 +1,13 @@
-//! One request from its scheduled instant to its end: calls, retries through other nodes, broken
-//! streams read on, and the check of its answer.
+//! Runs one request from its scheduled time to its end: calls a node, retries through other nodes,
+//! resumes broken streams and checks the answer.
 //!
-//! Invariants: a keyed request carries the same idempotency key at every try; a request is sent
-//! again only where its answer says that nothing ran, where it never reached a node, or where it
-//! may be repeated or carries a key; tokens are counted over all connections of one answer.
+//! Invariants: a keyed request carries the same idempotency key at every attempt. A request is sent
+//! again only if its answer says that nothing ran, if it never reached a node, or if it may be
+//! repeated or carries a key. Tokens are counted over all connections of one answer.
 
 use crate::answer::AnswerCheck;
 use crate::balancer::Balancer;
-use crate::client::{Called, called};
+use crate::client::{CallResult, classify_result};
 use crate::plan::{ClassPlan, LoadPlan};
 use crate::prompt::PromptMaker;
 use crate::schedule::{Kind, Planned};
@@ -20,52 +20,52 @@
 use ureq::Body;
 use ureq::http::Response;
 
-/// The wait before a broken stream is first read on, so that a node that just died is seen as
-/// such; doubled at each further try.
+/// The delay before a broken stream is first resumed, which gives the nodes time to detect that one
+/// of them died. It doubles with each further resumption.
 const RESUME_PAUSE: Duration = Duration::from_millis(100);
 
-/// The longest such wait.
+/// The longest delay before a stream is resumed.
 const MAX_RESUME_PAUSE: Duration = Duration::from_secs(2);
 
-/// How often one answer is read on.
+/// The maximum number of times that one answer is resumed.
 const MAX_RESUMES: u64 = 20;
 
 /// The longest error body that is read, in bytes.
 const MAX_ERROR_BYTES: u64 = 64 * 1024;
 
-/// What all requests of a run share.
+/// The state that all requests of a run share.
 pub struct Shared {
-    /// What was asked for.
+    /// The configuration of the run.
     pub plan: LoadPlan,
-    /// Chooses nodes.
+    /// Selects the node for each call.
     pub balancer: Balancer,
-    /// Makes prompts.
+    /// Generates the prompts.
     pub prompts: PromptMaker,
     /// The HTTP client.
     pub agent: ureq::Agent,
-    /// When the schedule began.
+    /// The start of the schedule.
     pub start: Instant,
 }
 
-/// What reading one connection's events came to.
-enum Read {
-    /// The answer ended.
+/// The result of reading the events of one connection.
+enum ReadResult {
+    /// The answer ended with this outcome.
     Ended(Outcome),
-    /// The connection ended first.
+    /// The connection ended before the answer; contains the error text.
     Broken(String),
 }
 
-/// A request under way.
+/// A request in progress.
 pub struct Exchange<'a> {
     shared: &'a Shared,
     planned: Planned,
     scheduled: Instant,
     check: AnswerCheck,
     prompt: Arc<str>,
-    /// Where to read on from.
+    /// The id of the last event, from which the stream can be resumed.
     cursor: Option<String>,
     last_token: Option<Instant>,
-    /// The kind of the last error.
+    /// The kind of the last error received.
     error_kind: Option<ErrorKind>,
     record: RequestRecord,
 }
@@ -111,22 +111,22 @@
             },
         };
         exchange.record.outcome = match planned.kind {
-            Kind::Direct => exchange.direct(),
-            Kind::Service | Kind::Completion | Kind::KeyedCompletion => exchange.through_nodes(),
+            Kind::Direct => exchange.call_engine(),
+            Kind::Service | Kind::Completion | Kind::KeyedCompletion => exchange.call_nodes(),
         };
         exchange.record.end_us = since_us(scheduled);
         exchange.record.fault = exchange.check.fault();
         exchange.record
     }
 
-    /// Calls the engine itself.
-    fn direct(&mut self) -> Outcome {
+    /// Calls the engine directly.
+    fn call_engine(&mut self) -> Outcome {
         let Some(engine) = self.shared.plan.direct.clone() else {
             return Outcome::Lost;
         };
         let prompt = self.prompt.clone();
         let max_tokens = class_of(&self.shared.plan, &self.planned).answer_tokens;
-        match engine.run(&prompt, max_tokens, &mut || self.time_token()) {
+        match engine.run(&prompt, max_tokens, &mut || self.record_token_time()) {
             Ok(()) => Outcome::Whole,
             Err(error) => {
                 self.record.error_text = Some(error.message.to_string());
@@ -135,27 +135,27 @@
         }
     }
 
-    /// Calls nodes in turn until one gives an answer that stands.
-    fn through_nodes(&mut self) -> Outcome {
+    /// Calls nodes in turn until one gives an answer that isn't retried.
+    fn call_nodes(&mut self) -> Outcome {
         let body = self.body();
         let mut avoid = None;
         let mut outcome = Outcome::Lost;
         let mut tries = 0;
         let mut refused = 0;
-        while tries < self.shared.plan.tries && refused <= self.most_refusals() {
+        while tries < self.shared.plan.tries && refused <= self.max_refusals() {
             let node = self.shared.balancer.next(avoid.as_ref());
             match self.post(&node, &body) {
-                Called::Refused => {
-                    self.shared.balancer.refused(&node);
+                CallResult::Refused => {
+                    self.shared.balancer.on_refused(&node);
                     self.record.connects_refused += 1;
                     refused += 1;
                 }
-                Called::Broken(text) => {
+                CallResult::Broken(text) => {
                     self.record.error_text = Some(text);
                     outcome = Outcome::Lost;
                     tries += 1;
                 }
-                Called::Answer(answer) => {
+                CallResult::Answer(answer) => {
                     outcome = self.read_answer(*answer, &node);
                     tries += 1;
                     if !self.may_send_again(outcome) {
@@ -172,35 +172,37 @@
         outcome
     }
 
-    /// Whether an answer calls for a try through another node.
+    /// Returns true if the request should be sent again through another node.
     fn may_send_again(&self, outcome: Outcome) -> bool {
-        // Tokens that came belong to an answer; a second answer would be counted on top.
-        let nothing_came = self.check.count() == 0;
+        // Tokens already received belong to the first answer. Those of a second answer would be
+        // counted in addition.
+        let no_tokens_received = self.check.count() == 0;
         match outcome {
-            Outcome::Failed(Verdict::NotRun) => nothing_came && self.another_may_serve(),
-            Outcome::Lost => nothing_came,
+            Outcome::Failed(Verdict::NotRun) => no_tokens_received && self.other_node_may_serve(),
+            Outcome::Lost => no_tokens_received,
             Outcome::Whole | Outcome::Failed(_) | Outcome::NoVerdict => false,
         }
     }
 
-    /// Whether another node may fare better at once; all other refusals say when to come back,
-    /// and open-loop load counts them as they are.
-    fn another_may_serve(&self) -> bool {
-        let is_the_nodes_own = matches!(
+    /// Returns true if another node may serve the request at once. All other refusals say when to
+    /// retry, and an open-loop load counts them as they are.
+    fn other_node_may_serve(&self) -> bool {
+        let is_node_specific = matches!(
             self.error_kind,
             Some(ErrorKind::Unavailable | ErrorKind::Upstream)
         );
-        is_the_nodes_own && self.shared.balancer.len() > 1
+        is_node_specific && self.shared.balancer.len() > 1
     }
 
-    /// Refused connections cost nothing, but a fleet that is wholly down must end the request.
-    fn most_refusals(&self) -> usize {
+    /// Returns the number of refused connections that one request tolerates. They don't count as
+    /// attempts, but the request must end if the whole fleet is down.
+    fn max_refusals(&self) -> usize {
         self.shared.balancer.len() * 2
     }
 
-    /// The body to post, the same at every try.
+    /// Builds the request body, which is the same at every attempt.
     fn body(&mut self) -> Vec<u8> {
-        // The prompt may be megabytes; from here on only the body is kept.
+        // The prompt may have several megabytes, so only the body is kept from here on.
         let prompt = std::mem::take(&mut self.prompt);
         let plan = &self.shared.plan;
         let class = class_of(plan, &self.planned);
@@ -226,7 +228,7 @@
         format!("Bearer {}", key.expose())
     }
 
-    fn post(&self, node: &Address, body: &[u8]) -> Called {
+    fn post(&self, node: &Address, body: &[u8]) -> CallResult {
         let url = format!("http://{node}{}", self.path());
         let mut request = self
             .shared
@@ -237,10 +239,10 @@
         if let Some(key) = &self.record.key {
             request = request.header("idempotency-key", &**key);
         }
-        called(request.send(body))
+        classify_result(request.send(body))
     }
 
-    fn get_events(&self, node: &Address, request: RequestId) -> Called {
+    fn get_events(&self, node: &Address, request: RequestId) -> CallResult {
         let url = format!("http://{node}/v1/requests/{request}/events");
         let mut get = self
             .shared
@@ -250,11 +252,11 @@
         if let Some(cursor) = &self.cursor {
             get = get.header("last-event-id", cursor);
         }
-        called(get.call())
+        classify_result(get.call())
     }
 
     fn read_answer(&mut self, answer: Response<Body>, node: &Address) -> Outcome {
-        self.note_request_header(&answer);
+        self.record_request_header(&answer);
         if !answer.status().is_success() {
             return self.read_error(answer);
         }
@@ -265,39 +267,40 @@
         let mut node = node.clone();
         loop {
             match read {
-                Read::Ended(outcome) => return outcome,
-                Read::Broken(text) => self.record.error_text = Some(text),
+                ReadResult::Ended(outcome) => return outcome,
+                ReadResult::Broken(text) => self.record.error_text = Some(text),
             }
             let Some(request) = self.record.requests.last().copied() else {
                 return Outcome::Lost;
             };
             if self.record.resumes >= MAX_RESUMES {
-                // The request was admitted, and nobody says what became of it.
+                // The request was admitted, and no node reports its outcome.
                 return Outcome::Failed(Verdict::MayHaveRun);
             }
             self.record.resumes += 1;
             std::thread::sleep(resume_pause(self.record.resumes));
             node = self.shared.balancer.next(Some(&node));
-            read = self.read_on(&node, request);
+            read = self.resume_answer(&node, request);
         }
     }
 
-    /// Reads a broken answer on through another node.
-    fn read_on(&mut self, node: &Address, request: RequestId) -> Read {
+    /// Resumes a broken answer through another node.
+    fn resume_answer(&mut self, node: &Address, request: RequestId) -> ReadResult {
         match self.get_events(node, request) {
-            Called::Refused => {
-                self.shared.balancer.refused(node);
+            CallResult::Refused => {
+                self.shared.balancer.on_refused(node);
                 self.record.connects_refused += 1;
-                Read::Broken("connection refused".into())
+                ReadResult::Broken("connection refused".into())
             }
-            Called::Broken(text) => Read::Broken(text),
-            Called::Answer(answer) if answer.status().is_success() => self.read_events(*answer),
-            Called::Answer(answer) => match self.read_error(*answer) {
-                // Said of the call to read on, not of the request, which was admitted before.
+            CallResult::Broken(text) => ReadResult::Broken(text),
+            CallResult::Answer(answer) if answer.status().is_success() => self.read_events(*answer),
+            CallResult::Answer(answer) => match self.read_error(*answer) {
+                // This verdict applies to the call that resumes the stream, not to the request,
+                // which was admitted earlier.
                 Outcome::Failed(Verdict::NotRun) => {
-                    Read::Broken(self.record.error_text.clone().unwrap_or_default())
+                    ReadResult::Broken(self.record.error_text.clone().unwrap_or_default())
                 }
-                outcome => Read::Ended(outcome),
+                outcome => ReadResult::Ended(outcome),
             },
         }
     }
@@ -324,7 +327,7 @@
             return Outcome::Lost;
         };
         match serde_json::from_str::<ErrorAnswer>(&text) {
-            Ok(answer) => self.failed(&format!("{status} "), answer.error),
+            Ok(answer) => self.record_error(&format!("{status} "), answer.error),
             Err(_) => {
                 self.record.error_text = Some(format!("{status} without a JSON error"));
                 Outcome::NoVerdict
@@ -332,10 +335,10 @@
         }
     }
 
-    /// Notes an error; `prefix` says where it came.
-    fn failed(&mut self, prefix: &str, error: ErrorBody) -> Outcome {
+    /// Records an error and returns its outcome; `prefix` precedes the message in the error text.
+    fn record_error(&mut self, prefix: &str, error: ErrorBody) -> Outcome {
         if let Some(Ok(request)) = error.request.as_deref().map(str::parse) {
-            self.note_request(request);
+            self.record_request(request);
         }
         self.error_kind = error.kind;
         let message = error.message.unwrap_or_default();
@@ -343,57 +346,57 @@
         error.verdict.map_or(Outcome::NoVerdict, Outcome::Failed)
     }
 
-    fn read_events(&mut self, answer: Response<Body>) -> Read {
+    fn read_events(&mut self, answer: Response<Body>) -> ReadResult {
         let body = answer.into_body().into_reader();
         let mut events = EventReader::new(BufReader::new(body));
         loop {
             match events.next_event() {
                 Ok(Some(event)) => {
-                    if let Some(outcome) = self.event(event) {
-                        return Read::Ended(outcome);
+                    if let Some(outcome) = self.on_event(event) {
+                        return ReadResult::Ended(outcome);
                     }
                 }
-                Ok(None) => return Read::Broken("the stream ended before [DONE]".into()),
-                Err(error) => return Read::Broken(error.to_string()),
+                Ok(None) => return ReadResult::Broken("the stream ended before [DONE]".into()),
+                Err(error) => return ReadResult::Broken(error.to_string()),
             }
         }
     }
 
-    /// Takes one event; the outcome where it was the last.
-    fn event(&mut self, event: ServerEvent) -> Option<Outcome> {
+    /// Processes one event and returns the outcome if it was the last.
+    fn on_event(&mut self, event: ServerEvent) -> Option<Outcome> {
         if event.id.is_some() {
             self.cursor = event.id;
         }
         if event.data == DONE {
-            self.check.finished();
+            self.check.on_finished();
             return Some(Outcome::Whole);
         }
         let Ok(chunk) = serde_json::from_str::<Chunk>(&event.data) else {
-            self.check.malformed();
+            self.check.on_malformed();
             return None;
         };
         match chunk.id.as_deref().map(str::parse) {
-            Some(Ok(request)) => self.note_request(request),
-            Some(Err(_)) => self.check.malformed(),
+            Some(Ok(request)) => self.record_request(request),
+            Some(Err(_)) => self.check.on_malformed(),
             None => {}
         }
         if let Some(error) = chunk.error {
-            return Some(self.failed("", error));
+            return Some(self.record_error("", error));
         }
         for choice in &chunk.choices {
             if let Some(text) = choice.text.as_deref().filter(|text| !text.is_empty()) {
-                self.time_token();
-                self.check.token(text);
+                self.record_token_time();
+                self.check.on_token(text);
             }
         }
         if let Some(usage) = chunk.usage {
-            self.check.declared(usage.completion_tokens);
+            self.check.on_declared_count(usage.completion_tokens);
         }
         None
     }
 
-    /// Notes when a token came.
-    fn time_token(&mut self) {
+    /// Records the time at which a token was received.
+    fn record_token_time(&mut self) {
         let now = Instant::now();
         match self.last_token {
             None => self.record.first_token_us = Some(since_us(self.scheduled)),
@@ -405,23 +408,24 @@
         self.last_token = Some(now);
     }
 
-    fn note_request_header(&mut self, answer: &Response<Body>) {
-        // A call that was not admitted yet bears its connection's name, which is no identity.
+    fn record_request_header(&mut self, answer: &Response<Body>) {
+        // The header of a call that isn't admitted yet names its connection, not a request.
         let header = answer.headers().get("x-request-id");
         let text = header.and_then(|value| value.to_str().ok());
         if let Some(Ok(request)) = text.map(str::parse) {
-            self.note_request(request);
+            self.record_request(request);
         }
     }
 
-    fn note_request(&mut self, request: RequestId) {
+    fn record_request(&mut self, request: RequestId) {
         if !self.record.requests.contains(&request) {
             self.record.requests.push(request);
         }
     }
 }
 
-/// The idempotency key: unique in the run, the same at every try.
+/// Returns the idempotency key, which is unique in the run and the same at every attempt; `None`
+/// for requests without a key.
 fn key_of(shared: &Shared, planned: &Planned) -> Option<Arc<str>> {
     match planned.kind {
         Kind::KeyedCompletion | Kind::Service => Some(shared.prompts.key(planned.sequence)),
@@ -429,7 +433,7 @@
     }
 }
 
-/// The class that a request is sent as.
+/// Returns the class under which a request is sent.
 fn class_of(plan: &LoadPlan, planned: &Planned) -> ClassPlan {
     match (&plan.keyed, planned.kind) {
         (Some(keyed), Kind::KeyedCompletion) => ClassPlan {
@@ -441,13 +445,13 @@
     }
 }
 
-/// The wait before a stream is read on for the `resumes`th time.
+/// Returns the delay before a stream is resumed for the `resumes`th time.
 fn resume_pause(resumes: u64) -> Duration {
     let doublings = resumes.saturating_sub(1).min(8) as u32;
     (RESUME_PAUSE * 2u32.pow(doublings)).min(MAX_RESUME_PAUSE)
 }
 
-/// Microseconds since an instant; zero where it is to come.
+/// Returns the microseconds since an instant; zero if it is in the future.
 fn since_us(instant: Instant) -> u64 {
     Instant::now()
         .saturating_duration_since(instant)
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,13 +1,14 @@
-//! Open-loop load on any address that speaks the callers' interface, with a check of each answer
-//! and a report by prompt length.
+//! An open-loop load generator for any address that serves the callers' interface. It checks each
+//! answer and reports latencies by prompt length.
 //!
-//! Terms: a *plan* is what was asked for; a *schedule* is the plan's requests with their
-//! instants, made in advance from a seed; a *fault* is something the system must never do, such
-//! as a crossed answer; the *oracle* knows the answer that a prompt must get.
+//! Terms: a *plan* is the configuration of a run. A *schedule* is the plan's requests with their
+//! arrival times, generated in advance from a seed. A *fault* is something the system must never
+//! do, such as a crossed answer (one with another prompt's tokens). The *oracle* computes the
+//! correct answer to a prompt.
 //!
-//! Invariants: the same plan and seed give the same schedule; latency counts from the scheduled
-//! instant, so that a late start of the caller's own can't hide waiting (coordinated omission);
-//! threads and prompts in memory are bounded by the plan.
+//! Invariants: the same plan and seed give the same schedule. Latency is measured from the
+//! scheduled time, so that a late start in the load generator can't hide waiting (coordinated
+//! omission). The plan bounds the number of threads and of prompts in memory.
 
 mod answer;
 mod balancer;
@@ -23,7 +24,7 @@
 pub mod schedule;
 mod sse;
 mod tally;
-mod truth;
+mod verdict_check;
 mod wire;
 
 pub use answer::{AnswerCheck, AnswerFault, Expected, Oracle, StandInOracle};
@@ -34,4 +35,4 @@
 pub use report::{BandReport, LatencyReport, Report};
 pub use run::{LoadRun, spawn};
 pub use schedule::{Kind, Planned, Schedule};
-pub use truth::{HttpRunSource, RunCount, RunCounts, RunSource};
+pub use verdict_check::{HttpRunSource, RunCount, RunCounts, RunSource};
--- a/crates/load/src/live.rs
+++ b/crates/load/src/live.rs
@@ -1,15 +1,15 @@
-//! The live line on a terminal.
+//! Writes the progress line on a terminal.
 
 use crate::tally::Tally;
 use std::io::{IsTerminal, Write, stderr};
 use std::time::Duration;
 
-/// Whether a live line would be seen.
-pub fn is_seen() -> bool {
+/// Returns true if standard error is a terminal.
+pub fn is_terminal() -> bool {
     stderr().is_terminal()
 }
 
-/// Overwrites the live line.
+/// Overwrites the progress line.
 pub fn write(tally: &Tally, offered: u64, elapsed: Duration) {
     let failed = tally.ended - tally.whole;
     let line = format!(
@@ -19,11 +19,11 @@
         tally.whole,
         tally.tokens
     );
-    // A terminal that went away is no reason to stop the run.
+    // A closed terminal is no reason to stop the run.
     let _ = stderr().write_all(line.as_bytes());
 }
 
-/// Leaves the live line behind.
+/// Ends the progress line with a newline, so that it stays on the terminal.
 pub fn end() {
     let _ = stderr().write_all(b"\n");
 }
--- a/crates/load/src/mix.rs
+++ b/crates/load/src/mix.rs
@@ -8,16 +8,16 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// The shortest prompt of any mix.
-const SHORTEST: f64 = 1_000.0;
-/// The longest prompt of any mix.
-const LONGEST: f64 = 1_000_000.0;
-/// The border that one in [`LONG_ONE_IN`] prompts of the default mix exceeds.
-const LONG_BORDER: f64 = 100_000.0;
-/// One prompt in this many of the default mix is long.
+/// The shortest prompt of the log-uniform mixes.
+const SHORTEST_TOKENS: f64 = 1_000.0;
+/// The longest prompt of the log-uniform mixes.
+const LONGEST_TOKENS: f64 = 1_000_000.0;
+/// The length that one in [`LONG_ONE_IN`] prompts of the default mix exceeds.
+const LONG_LOWER_TOKENS: f64 = 100_000.0;
+/// The number of prompts of the default mix of which one is long, on average.
 const LONG_ONE_IN: u32 = 50;
-/// The upper border of short prompts.
-const SHORT_BORDER: f64 = 4_000.0;
+/// The upper bound of short prompts.
+const SHORT_UPPER_TOKENS: f64 = 4_000.0;
 
 /// A mix of prompt lengths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,26 +28,26 @@
     Short,
     /// Log-uniform from 100,000 to 1,000,000 tokens.
     Long,
-    /// All of one length.
+    /// All prompts of one length.
     Fixed(Tokens),
 }
 
 impl Mix {
-    /// Draws a prompt's length.
+    /// Draws the length of a prompt.
     pub fn sample(self, rng: &mut impl Rng) -> Tokens {
         match self {
             Mix::Mixed if rng.random_ratio(1, LONG_ONE_IN) => {
-                log_uniform(rng, LONG_BORDER, LONGEST)
+                log_uniform(rng, LONG_LOWER_TOKENS, LONGEST_TOKENS)
             }
-            Mix::Mixed => log_uniform(rng, SHORTEST, LONG_BORDER),
-            Mix::Short => log_uniform(rng, SHORTEST, SHORT_BORDER),
-            Mix::Long => log_uniform(rng, LONG_BORDER, LONGEST),
+            Mix::Mixed => log_uniform(rng, SHORTEST_TOKENS, LONG_LOWER_TOKENS),
+            Mix::Short => log_uniform(rng, SHORTEST_TOKENS, SHORT_UPPER_TOKENS),
+            Mix::Long => log_uniform(rng, LONG_LOWER_TOKENS, LONGEST_TOKENS),
             Mix::Fixed(prompt_tokens) => prompt_tokens,
         }
     }
 }
 
-/// Draws from `low..high` so that each factor of length is as likely as any other.
+/// Draws from `low..high` so that the logarithm is uniformly distributed.
 fn log_uniform(rng: &mut impl Rng, low: f64, high: f64) -> Tokens {
     let exponent = rng.random_range(low.ln()..high.ln());
     let drawn = exponent.exp().clamp(low, high);
--- a/crates/load/src/plan.rs
+++ b/crates/load/src/plan.rs
@@ -1,12 +1,12 @@
-//! What load is asked for.
+//! The configuration of a load run and its validation.
 
 use crate::answer::Oracle;
 use crate::mix::Mix;
-use crate::truth::RunSource;
+use crate::verdict_check::RunSource;
 use bluebell_base::prelude::*;
 use std::fmt;
 
-/// A client account's key, sent as a bearer token; never printed.
+/// A client account's key. It is sent as a bearer token and never printed.
 #[derive(Clone, PartialEq, Eq)]
 pub struct AccountKey(Arc<str>);
 
@@ -16,7 +16,7 @@
         Self(key.into())
     }
 
-    /// The key itself, for the header that carries it.
+    /// Returns the key, for the `authorization` header.
     pub(crate) fn expose(&self) -> &str {
         &self.0
     }
@@ -28,43 +28,44 @@
     }
 }
 
-/// A class of work, and the prompts that are sent as of that class.
+/// A class of work and the prompts that are sent under it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassPlan {
-    /// The class as the configuration names it.
+    /// The class's name in the configuration.
     pub name: ClassName,
-    /// The longest prompt sent as of this class; none: any length.
+    /// The longest prompt sent under this class; `None` for any length.
     pub up_to_tokens: Option<Tokens>,
-    /// The most tokens asked for in an answer.
+    /// The maximum number of answer tokens requested.
     pub answer_tokens: Tokens,
 }
 
-/// Completions that must run at most once, each under an idempotency key.
+/// Completions that must run at most once; each carries an idempotency key.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KeyedPlan {
-    /// A class that the configuration declares not idempotent; it takes prompts of any length.
+    /// A class that the configuration declares not idempotent. It accepts prompts of any length.
     pub class: ClassName,
-    /// The most tokens asked for in an answer.
+    /// The maximum number of answer tokens requested.
     pub answer_tokens: Tokens,
-    /// Their share of all requests, 0 to 1.
+    /// The share of all requests that are of this kind, 0 to 1.
     pub share: f64,
 }
 
-/// Calls to a plain service among the load.
+/// Calls to a plain service that are part of the load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServicePlan {
-    /// The routed path, such as `/services/board/notices`, which is posted to.
+    /// The routed path that receives a `POST`, such as `/services/board/notices`.
     pub path: Arc<str>,
-    /// Their share of all requests, 0 to 1.
+    /// The share of all requests that are of this kind, 0 to 1.
     pub share: f64,
 }
 
-/// Calls an engine without the system between, to measure what the system adds.
+/// A client that calls an engine without the system in between, to measure the latency that the
+/// system adds.
 pub trait DirectEngine: Send + Sync {
-    /// Runs one prompt to its end and calls `on_token` at each token.
+    /// Runs one prompt to its end and calls `on_token` for each token.
     ///
     /// # Errors
-    /// The failure, where the answer isn't whole.
+    /// Returns the failure if the answer isn't complete.
     fn run(
         &self,
         prompt: &Arc<str>,
@@ -73,72 +74,73 @@
     ) -> Result<(), Error>;
 }
 
-/// What load is asked for.
+/// The configuration of a load run.
 #[derive(Clone)]
 pub struct LoadPlan {
-    /// Nodes' callers' addresses, used in turn as a balancer would.
+    /// The nodes' addresses for callers. Requests go to them in turn, as from a load balancer.
     pub targets: Vec<Address>,
-    /// The mean rate of arrivals.
+    /// The mean arrival rate.
     pub rate: PerSecond,
-    /// How many requests are sent.
+    /// The number of requests to send.
     pub requests: u64,
     /// The seed of the schedule.
     pub seed: u64,
     /// The mix of prompt lengths.
     pub mix: Mix,
-    /// Prompts longer than this are cut to it; none: no limit.
+    /// The length that longer prompts are cut to; `None` for no limit.
     pub max_prompt_tokens: Option<Tokens>,
-    /// Classes by prompt length, ascending; the last takes any length.
+    /// Classes in ascending order of prompt length. The last one accepts any length.
     pub classes: Vec<ClassPlan>,
-    /// The accounts' keys; each request is of one of them, drawn evenly.
+    /// The accounts' keys. Each request uses one of them, drawn uniformly.
     pub accounts: Vec<AccountKey>,
-    /// The model asked for.
+    /// The requested model.
     pub model: ModelName,
-    /// Completions that must run at most once.
+    /// Completions that must run at most once; `None` to send none.
     pub keyed: Option<KeyedPlan>,
-    /// Calls to a plain service.
+    /// Calls to a plain service; `None` to send none.
     pub service: Option<ServicePlan>,
-    /// How often a request is tried in all, the first time included.
+    /// The maximum number of attempts per request, including the first.
     pub tries: u32,
-    /// The most requests in flight; it bounds threads and memory.
+    /// The maximum number of requests in flight, which bounds threads and memory.
     pub threads: usize,
-    /// How long one answer is waited for.
+    /// The timeout for the head and for the body of one answer.
     pub patience_ms: SpanMs,
-    /// The length of the beginning that all prompts of one account share.
+    /// The length of the prefix that all prompts of one account share.
     pub shared_prefix_tokens: Tokens,
-    /// Knows the right answers; none: identity isn't checked.
+    /// Computes the correct answers; `None` if tokens aren't checked.
     pub oracle: Option<Arc<dyn Oracle>>,
-    /// Knows how often each request ran; none: truthfulness isn't checked.
+    /// Provides how often each request ran; `None` if verdicts aren't checked.
     pub run_source: Option<Arc<dyn RunSource>>,
-    /// Calls an engine directly, side by side, with each prompt of this share; none: not at all.
+    /// Calls an engine directly during the run, for `direct_share` of the requests; `None` to make
+    /// no direct calls.
     pub direct: Option<Arc<dyn DirectEngine>>,
-    /// The share of requests that are also sent to the engine directly.
+    /// The share of scheduled requests that are sent to the engine directly, 0 to 1.
     pub direct_share: f64,
-    /// Whether a live line is written to standard error, where that is a terminal.
+    /// True if a progress line is written to standard error when that is a terminal.
     pub live: bool,
 }
 
-/// A plan that can't be carried out.
+/// A reason why a plan can't be carried out.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PlanError {
-    /// A list that must not be empty is.
+    /// A list is empty that must have an entry.
     #[error("{0} must not be empty")]
     Empty(&'static str),
-    /// A number that is out of range.
+    /// A number is out of range.
     #[error("{what} must be {wanted}")]
     OutOfRange {
         /// The field.
         what: &'static str,
-        /// The range.
+        /// The permitted range.
         wanted: &'static str,
     },
-    /// No class takes the longest prompts.
+    /// The last class has a length limit, so no class accepts the longest prompts.
     #[error("the last class must take prompts of any length")]
     LastClassLimited,
 }
 
 impl LoadPlan {
-    /// A plan with one account and one class of work, and the default mix.
+    /// Creates a plan with one account, one class of work and the default mix.
     pub fn new(targets: Vec<Address>, account: AccountKey, class: ClassName) -> Self {
         Self {
             targets,
@@ -171,7 +173,7 @@
     /// Checks that the plan can be carried out.
     ///
     /// # Errors
-    /// Every fault found.
+    /// Returns every problem found.
     pub fn check(&self) -> Result<(), Vec<PlanError>> {
         let mut errors = Vec::new();
         let lists = [
@@ -180,11 +182,11 @@
             ("accounts", self.accounts.is_empty()),
         ];
         errors.extend(lists.iter().filter(|l| l.1).map(|l| PlanError::Empty(l.0)));
-        let rate_fits = self.rate.0.is_finite() && self.rate.0 > 0.0;
+        let is_valid_rate = self.rate.0.is_finite() && self.rate.0 > 0.0;
         let keyed_share = self.keyed.as_ref().map_or(0.0, |keyed| keyed.share);
         let service_share = self.service.as_ref().map_or(0.0, |service| service.share);
         let ranges = [
-            ("rate", "more than 0/s", rate_fits),
+            ("rate", "more than 0/s", is_valid_rate),
             ("requests", "more than 0", self.requests > 0),
             ("tries", "more than 0", self.tries > 0),
             ("threads", "more than 0", self.threads > 0),
--- a/crates/load/src/prompt.rs
+++ b/crates/load/src/prompt.rs
@@ -1,34 +1,34 @@
-//! Prompts of a wanted length, built cheaply.
+//! Generates prompts of a requested length at low cost.
 //!
-//! Invariants: two requests of a run never have the same prompt; a prompt has its
-//! length in tokens as engines count them.
+//! Invariants: two requests of a run never have the same prompt. A prompt has the requested length
+//! in tokens as engines count them.
 
 use bluebell_base::prelude::*;
 use bluebell_upstreams::prompt;
 
-/// Bytes that count as one token.
+/// The number of bytes that count as one token.
 const BYTES_PER_TOKEN: usize = prompt::BYTES_PER_TOKEN as usize;
 
-/// The words of the filler; four bytes each with the space.
+/// The words of the filler text. Each has four bytes, including the space after it.
 const WORDS: [&str; 8] = ["the", "gas", "war", "kin", "old", "day", "fee", "log"];
 
-/// Words of the filler before it repeats.
+/// The number of words in the filler text before it repeats.
 const FILLER_WORDS: usize = 16 * 1024;
 
-/// Makes prompts.
+/// A generator of prompts and idempotency keys.
 #[derive(Debug)]
 pub struct PromptMaker {
-    /// Distinguishes this run's prompts from another's.
+    /// The run's number, which distinguishes its prompts from those of other runs.
     run: u64,
     filler: String,
 }
 
 impl PromptMaker {
-    /// Makes prompts that begin with the run's number and the request's.
+    /// Creates a generator for the run with this number.
     pub fn new(run: u64) -> Self {
         let mut filler = String::with_capacity(FILLER_WORDS * BYTES_PER_TOKEN);
         for i in 0..FILLER_WORDS {
-            // A multiplicative hash spreads the words without a generator's state.
+            // A multiplicative hash varies the words without the state of a random generator.
             let word = (i.wrapping_mul(2_654_435_761) >> 7) % WORDS.len();
             filler.push_str(WORDS[word]);
             filler.push(' ');
@@ -36,8 +36,8 @@
         Self { run, filler }
     }
 
-    /// The prompt of a request: an optional prefix shared by all prompts of `account`, then a
-    /// unique text, then filler up to the length.
+    /// Returns the prompt of a request: an optional prefix shared by all prompts of `account`, a
+    /// unique text with the numbers of the run and the request, and filler up to the length.
     pub fn prompt(
         &self,
         sequence: u64,
@@ -58,12 +58,12 @@
         text.into()
     }
 
-    /// The idempotency key of a request, unique in the run.
+    /// Returns the idempotency key of a request, which is unique in the run.
     pub fn key(&self, sequence: u64) -> Arc<str> {
         format!("load-{:016x}-{sequence:x}", self.run).into()
     }
 
-    /// Adds filler until the text has that many bytes.
+    /// Appends filler until the text has `bytes` bytes.
     fn fill(&self, text: &mut String, bytes: usize) {
         while text.len() < bytes {
             let wanted = (bytes - text.len()).min(self.filler.len());
--- a/crates/load/src/report/mod.rs
+++ b/crates/load/src/report/mod.rs
@@ -1,27 +1,27 @@
-//! The report of a run, as data; [`print`] writes it as text, `serde` as JSON.
+//! The data of a run's report. [`print`] writes it as text, `serde` as JSON.
 
 mod print;
 
 use crate::tally::{BandTally, Tally};
-use crate::truth::Untruths;
+use crate::verdict_check::VerdictFaults;
 use bluebell_base::prelude::*;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Percentiles of one latency, in milliseconds.
+/// The distribution of one latency, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct LatencyReport {
-    /// How many were measured.
+    /// The number of measurements.
     pub count: u64,
-    /// Half were at most this.
+    /// The median.
     pub p50_ms: f64,
-    /// 90 of 100.
+    /// The 90th percentile.
     pub p90_ms: f64,
-    /// 95 of 100.
+    /// The 95th percentile.
     pub p95_ms: f64,
-    /// 99 of 100.
+    /// The 99th percentile.
     pub p99_ms: f64,
-    /// The longest.
+    /// The maximum.
     pub max_ms: f64,
 }
 
@@ -39,44 +39,44 @@
     }
 }
 
-/// Latencies of the prompts of one band.
+/// Latencies of one band of prompt lengths.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct BandReport {
-    /// The band.
+    /// The band of prompt lengths.
     pub band: LengthBand,
     /// Requests that ended.
     pub ended: u64,
-    /// Those with a whole answer.
+    /// Requests with a complete answer.
     pub whole: u64,
-    /// From the scheduled instant to the first token.
+    /// Times from the scheduled time to the first token.
     pub first_token: LatencyReport,
-    /// Between tokens.
+    /// Times between successive tokens.
     pub between_tokens: LatencyReport,
-    /// From the scheduled instant to the end of whole answers.
+    /// Times from the scheduled time to the end of complete answers.
     pub end: LatencyReport,
 }
 
-/// What the system must never do, counted.
+/// Counts of things that the system must never do.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct FaultReport {
-    /// Answers with a token that is not the prompt's.
+    /// Answers with a token that doesn't belong to the prompt's answer.
     pub crossed: u64,
-    /// Answers with a token that came twice.
+    /// Answers with a repeated token.
     pub doubled: u64,
-    /// Answers declared whole with tokens missing.
+    /// Answers that were declared complete but lack tokens.
     pub short: u64,
-    /// Answers that can't be read.
+    /// Answers with an event that can't be parsed.
     pub malformed: u64,
-    /// Errors without verdict.
+    /// Errors without a verdict.
     pub no_verdict: u64,
-    /// Requests declared not run that ran.
+    /// Requests with the verdict `not_run` that an upstream ran.
     pub untrue_not_run: u64,
-    /// Requests that must run at most once and were begun more often.
+    /// Requests that must run at most once and were started more often.
     pub ran_twice: u64,
 }
 
 impl FaultReport {
-    /// All faults together.
+    /// Returns the total number of faults.
     pub fn total(&self) -> u64 {
         self.crossed
             + self.doubled
@@ -88,23 +88,23 @@
     }
 }
 
-/// What of the answers could be checked.
+/// The extent to which answers and verdicts could be checked.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Checked {
-    /// Whether each token was compared with the right one.
+    /// True if each token was compared with the correct one.
     pub identity: bool,
-    /// Upstreams whose own counts verdicts were compared with.
+    /// The number of upstreams whose run counts the verdicts were compared with.
     pub upstreams_asked: u64,
-    /// Upstreams that could not be asked any more; the check may have missed what they ran.
+    /// The number of upstreams that did not answer. The check may have missed what they ran.
     pub upstreams_unreachable: u64,
 }
 
-/// How often an error text came.
+/// An error text and the number of its occurrences.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ErrorText {
-    /// The text.
+    /// The error text.
     pub text: Arc<str>,
-    /// How often it came.
+    /// The number of occurrences.
     pub count: u64,
 }
 
@@ -113,47 +113,48 @@
 pub struct Report {
     /// The schedule's seed.
     pub seed: u64,
-    /// How long the run took, in milliseconds.
+    /// The duration of the run, in milliseconds.
     pub took_ms: SpanMs,
-    /// Requests of the schedule, without those for an engine directly.
+    /// Requests of the schedule, or those started if the run was stopped early. Direct calls to an
+    /// engine aren't included.
     pub offered: u64,
-    /// Requests that ended; fewer where the run was stopped.
+    /// Requests that ended; fewer than scheduled if the run was stopped early.
     pub ended: u64,
-    /// Whole answers.
+    /// Complete answers.
     pub whole: u64,
-    /// Errors that say nothing ran.
+    /// Errors with the verdict that the request did not run.
     pub not_run: u64,
-    /// Errors that say it may have run.
+    /// Errors with the verdict that the request may have run.
     pub may_have_run: u64,
-    /// Errors that say it ran.
+    /// Errors with the verdict that the request ran.
     pub ran: u64,
-    /// Requests that got no word at any try.
+    /// Requests with neither a complete answer nor an error at any attempt.
     pub lost: u64,
-    /// Calls after the first of a request.
+    /// Calls after the first of each request.
     pub retries: u64,
-    /// Broken streams read on.
+    /// Times that a broken stream was resumed.
     pub resumes: u64,
-    /// Connections refused by nodes.
+    /// Connections that nodes refused.
     pub connects_refused: u64,
-    /// Requests whose first call began over 50 ms late for want of a free thread.
+    /// Requests whose first call started over 50 ms late because no thread was free.
     pub late_starts: u64,
-    /// Calls to services among all.
+    /// Calls to plain services; also included in the other counts.
     pub services: u64,
-    /// Completions under an idempotency key among all.
+    /// Completions with an idempotency key; also included in the other counts.
     pub keyed: u64,
     /// Tokens received.
     pub tokens: u64,
-    /// What must never happen.
+    /// Faults of the system.
     pub faults: FaultReport,
-    /// What could be checked.
+    /// The extent of the checks.
     pub checked: Checked,
-    /// Latencies through the system by band; bands without requests are left out.
+    /// Latencies through the system by band, without bands that had no requests.
     pub bands: Vec<BandReport>,
-    /// Latencies of completions under an idempotency key, to the first token.
+    /// Times to the first token of completions with an idempotency key.
     pub keyed_first_token: LatencyReport,
-    /// Latencies of an engine called directly in the same run; these are in no other count.
+    /// Latencies of direct calls to an engine in the same run. No other count includes these calls.
     pub direct_bands: Vec<BandReport>,
-    /// Error texts, as far as kept.
+    /// The distinct error texts that were kept.
     pub errors: Vec<ErrorText>,
 }
 
@@ -164,9 +165,9 @@
         offered: u64,
         took_ms: SpanMs,
         identity: bool,
-        untruths: Option<Untruths>,
+        verdict_faults: Option<VerdictFaults>,
     ) -> Self {
-        let found = untruths.unwrap_or_default();
+        let verdict_check = verdict_faults.unwrap_or_default();
         Self {
             seed,
             took_ms,
@@ -190,13 +191,13 @@
                 short: tally.faults.short,
                 malformed: tally.faults.malformed,
                 no_verdict: tally.no_verdict,
-                untrue_not_run: found.untrue_not_run,
-                ran_twice: found.ran_twice,
+                untrue_not_run: verdict_check.untrue_not_run,
+                ran_twice: verdict_check.ran_twice,
             },
             checked: Checked {
                 identity,
-                upstreams_asked: found.asked,
-                upstreams_unreachable: found.unreachable,
+                upstreams_asked: verdict_check.asked,
+                upstreams_unreachable: verdict_check.unreachable,
             },
             bands: band_reports(&tally.bands),
             keyed_first_token: LatencyReport::of(&tally.keyed_latency.first_token_us),
@@ -205,7 +206,7 @@
         }
     }
 
-    /// Whether nothing happened that must never happen.
+    /// Returns true if the run had no faults.
     pub fn is_clean(&self) -> bool {
         self.faults.total() == 0
     }
--- a/crates/load/src/report/print.rs
+++ b/crates/load/src/report/print.rs
@@ -3,8 +3,9 @@
 use super::{BandReport, LatencyReport, Report};
 use std::fmt;
 
-/// Bands with fewer measured requests on either side aren't compared.
-const MIN_COMPARED: u64 = 20;
+/// The minimum number of measured requests, both through the system and directly, for which a band
+/// is compared.
+const MIN_COMPARED_REQUESTS: u64 = 20;
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -130,7 +131,7 @@
     )
 }
 
-/// What the system added over the engine alone, for bands measured both ways.
+/// Writes the latency that the system adds to the engine's own, for bands measured both ways.
 fn write_added(
     f: &mut fmt::Formatter<'_>,
     system: &[BandReport],
@@ -142,7 +143,7 @@
             continue;
         };
         let counts = [band.first_token.count, direct.first_token.count];
-        if counts.iter().any(|count| *count < MIN_COMPARED) {
+        if counts.iter().any(|count| *count < MIN_COMPARED_REQUESTS) {
             continue;
         }
         let p50_ms = band.first_token.p50_ms - direct.first_token.p50_ms;
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -1,9 +1,9 @@
-//! A run: threads that take the schedule's requests in turn, the probe of nodes, the live line and
-//! the report at the end.
+//! Runs a load plan: worker threads send the requests of the schedule in turn, and a watcher thread
+//! probes nodes and writes the progress line. Returns the report at the end.
 //!
 //! Invariants: a thread takes the next request of the schedule only when it is free, and waits for
-//! its instant; where all are busy the request starts late, which its latency includes and the
-//! report counts.
+//! its scheduled time. If all threads are busy, the request starts late. Its latency includes the
+//! delay, and the report counts the late start.
 
 use crate::balancer::Balancer;
 use crate::client::agent;
@@ -14,32 +14,32 @@
 use crate::report::Report;
 use crate::schedule::{Kind, Planned, Schedule};
 use crate::tally::Tally;
-use crate::truth::{Untruths, compare};
+use crate::verdict_check::{VerdictFaults, compare};
 use bluebell_base::prelude::*;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Mutex, MutexGuard};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How often nodes are asked whether they are ready, and the live line is written.
+/// The interval at which nodes' readiness is probed and the progress line is written.
 const WATCH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The longest wait for an instant before it is checked whether the run shall stop.
-const MAX_NAP: Duration = Duration::from_millis(100);
+/// The longest sleep of a worker before it checks again whether the run was stopped.
+const MAX_SLEEP: Duration = Duration::from_millis(100);
 
-/// What the threads of a run share.
+/// The state that the threads of a run share.
 struct State {
     shared: Shared,
     schedule: Schedule,
     next: AtomicUsize,
-    begun: AtomicU64,
+    started: AtomicU64,
     stopped: AtomicBool,
     tally: Mutex<Tally>,
 }
 
 impl State {
     fn tally(&self) -> MutexGuard<'_, Tally> {
-        // A thread that panicked while counting leaves counts that are still worth reading.
+        // The counts are still useful after a thread panicked while it held the lock.
         self.tally
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
@@ -49,7 +49,8 @@
         self.stopped.load(Ordering::Relaxed)
     }
 
-    /// The next request of the schedule, at its instant; none at the end or when stopped.
+    /// Waits until the next request of the schedule is due and returns it; `None` at the end of the
+    /// schedule or if the run was stopped.
     fn take_next(&self) -> Option<Planned> {
         let index = self.next.fetch_add(1, Ordering::Relaxed);
         let planned = *self.schedule.0.get(index)?;
@@ -58,25 +59,25 @@
             let left = at.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 let through = u64::from(planned.kind != Kind::Direct);
-                self.begun.fetch_add(through, Ordering::Relaxed);
+                self.started.fetch_add(through, Ordering::Relaxed);
                 return Some(planned);
             }
-            std::thread::sleep(left.min(MAX_NAP));
+            std::thread::sleep(left.min(MAX_SLEEP));
         }
         None
     }
 
-    /// How many requests were to be sent: those of the schedule, or those that began before an
-    /// early end.
+    /// Returns the number of requests offered to the system: all of the schedule, or only those
+    /// that were started if the run was stopped early. Direct calls to an engine aren't included.
     fn offered(&self) -> u64 {
         match self.is_stopped() {
-            true => self.begun.load(Ordering::Relaxed),
+            true => self.started.load(Ordering::Relaxed),
             false => self.schedule.offered(),
         }
     }
 }
 
-/// A run under way.
+/// A run in progress.
 pub struct LoadRun {
     state: Arc<State>,
     workers: Vec<JoinHandle<()>>,
@@ -86,7 +87,7 @@
 /// Starts a run.
 ///
 /// # Errors
-/// Every fault of the plan.
+/// Returns every problem of the plan.
 pub fn spawn(plan: LoadPlan) -> Result<LoadRun, Vec<PlanError>> {
     plan.check()?;
     let schedule = Schedule::of(&plan);
@@ -101,7 +102,7 @@
         },
         schedule,
         next: AtomicUsize::new(0),
-        begun: AtomicU64::new(0),
+        started: AtomicU64::new(0),
         stopped: AtomicBool::new(false),
         tally: Mutex::new(Tally::new()),
     });
@@ -114,7 +115,8 @@
     })
 }
 
-/// Differs from run to run, so that keys and prompts of an earlier run are never met again.
+/// Returns a number that differs from run to run, so that keys and prompts of an earlier run are not
+/// used again.
 fn run_number(seed: u64) -> u64 {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -133,10 +135,10 @@
 
 fn spawn_watcher(state: Arc<State>) -> JoinHandle<()> {
     std::thread::spawn(move || {
-        let shows = state.shared.plan.live && live::is_seen();
+        let shows_progress = state.shared.plan.live && live::is_terminal();
         while !state.is_stopped() {
             state.shared.balancer.probe(&state.shared.agent);
-            if shows {
+            if shows_progress {
                 live::write(
                     &state.tally(),
                     state.schedule.offered(),
@@ -145,28 +147,29 @@
             }
             std::thread::park_timeout(WATCH_INTERVAL);
         }
-        if shows {
+        if shows_progress {
             live::end();
         }
     })
 }
 
 impl LoadRun {
-    /// Ends the run early: requests under way end, no further ones begin.
+    /// Stops the run early: requests in progress continue to their end, and no more are started.
     pub fn stop(&self) {
         self.state.stopped.store(true, Ordering::Relaxed);
     }
 
-    /// How many requests have ended so far.
+    /// Returns the number of requests through the system that have ended so far.
     pub fn ended(&self) -> u64 {
         self.state.tally().ended
     }
 
-    /// Waits for the end and checks verdicts against what upstreams ran.
+    /// Waits for the end of the run, compares verdicts with upstreams' run counts and returns the
+    /// report.
     pub fn join(self) -> Report {
         for worker in self.workers {
             if worker.join().is_err() {
-                log::error!("a thread of the load panicked; its request is not counted");
+                log::error!("a load worker thread panicked; its request is not counted");
             }
         }
         let took_ms = SpanMs(self.state.shared.start.elapsed().as_millis() as u64);
@@ -174,7 +177,7 @@
         self.state.stopped.store(true, Ordering::Relaxed);
         self.watcher.thread().unpark();
         if self.watcher.join().is_err() {
-            log::error!("the watcher of the load panicked");
+            log::error!("the load watcher thread panicked; nodes were no longer probed");
         }
         let tally = self.state.tally();
         let plan = &self.state.shared.plan;
@@ -184,13 +187,13 @@
             offered,
             took_ms,
             plan.oracle.is_some(),
-            untruths(plan, &tally),
+            check_verdicts(plan, &tally),
         )
     }
 }
 
-/// Compares verdicts with what upstreams ran; none where that can't be known.
-fn untruths(plan: &LoadPlan, tally: &Tally) -> Option<Untruths> {
+/// Compares verdicts with upstreams' run counts; `None` if the plan has no source of run counts.
+fn check_verdicts(plan: &LoadPlan, tally: &Tally) -> Option<VerdictFaults> {
     let source = plan.run_source.as_ref()?;
-    Some(compare(&tally.claims, &source.counts()))
+    Some(compare(&tally.reported_verdicts, &source.counts()))
 }
--- a/crates/load/src/sse.rs
+++ b/crates/load/src/sse.rs
@@ -1,31 +1,31 @@
-//! Reads server-sent events from a body, one at a time, as they come.
+//! Reads server-sent events from a body, one at a time, as they arrive.
 //!
-//! Invariants: an event that the connection's end cuts short is not returned.
+//! Invariants: an event that the end of the connection truncates is not returned.
 
 use std::io::{self, BufRead};
 
-/// The longest line taken, in bytes; a longer one is an error, so memory stays bounded.
+/// The longest accepted line, in bytes. A longer one is an error, so that memory stays bounded.
 const MAX_LINE_BYTES: u64 = 1 << 20;
 
 /// One server-sent event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServerEvent {
-    /// Its id, to read on from.
+    /// The id, from which a client can resume the stream.
     pub id: Option<String>,
-    /// Its name, where it has one.
+    /// The name of the event, if it has one.
     pub name: Option<String>,
-    /// Its data.
+    /// The data lines, joined by newlines.
     pub data: String,
 }
 
-/// Reads events from a body.
+/// A reader of events from a body.
 pub struct EventReader<R> {
     body: R,
     line: String,
 }
 
 impl<R: BufRead> EventReader<R> {
-    /// Reads from the body's beginning.
+    /// Creates a reader that starts at the beginning of the body.
     pub fn new(body: R) -> Self {
         Self {
             body,
@@ -33,10 +33,10 @@
         }
     }
 
-    /// The next event; none where the body ended.
+    /// Reads the next event; `None` at the end of the body.
     ///
     /// # Errors
-    /// The connection broke, or a line is too long or not UTF-8.
+    /// Fails if the connection breaks, or if a line is too long or not UTF-8.
     pub fn next_event(&mut self) -> io::Result<Option<ServerEvent>> {
         let mut event = ServerEvent::default();
         let mut has_data = false;
@@ -57,14 +57,14 @@
                 }
                 "id" => event.id = Some(value.to_owned()),
                 "event" => event.name = Some(value.to_owned()),
-                // Comments (an empty field) and unknown fields are skipped, as the standard says.
+                // The standard requires that comments (an empty field) and unknown fields are skipped.
                 _ => {}
             }
         }
         Ok(None)
     }
 
-    /// Reads a whole line; `false` where the body ended before one.
+    /// Reads a complete line; returns `false` if the body ended before the end of the line.
     fn next_line(&mut self) -> io::Result<bool> {
         self.line.clear();
         let mut limited = io::Read::take(&mut self.body, MAX_LINE_BYTES);
--- a/crates/load/src/tally.rs
+++ b/crates/load/src/tally.rs
@@ -1,9 +1,9 @@
-//! What happened to the requests of a run: counts, latencies by band, and what the check of
-//! verdicts needs later.
+//! Counts the outcomes of a run's requests, records latencies by prompt length, and keeps the data
+//! that the check of verdicts needs at the end.
 
 use crate::answer::AnswerFault;
 use crate::schedule::{Kind, Planned};
-use crate::truth::Claim;
+use crate::verdict_check::ReportedVerdict;
 use bluebell_base::prelude::*;
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
@@ -11,71 +11,71 @@
 /// Significant digits of the latency histograms.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// The longest latency told apart, an hour; longer ones count as this.
-const LONGEST_US: u64 = 3_600_000_000;
+/// The longest recorded latency, one hour. Longer ones are recorded as this.
+const MAX_LATENCY_US: u64 = 3_600_000_000;
 
-/// The most different error texts that are kept.
+/// The maximum number of distinct error texts that are kept.
 const MAX_ERROR_TEXTS: usize = 16;
 
-/// A start later than this after its scheduled instant counts as late.
+/// The delay after the scheduled time above which a start counts as late.
 const LATE_START_US: u64 = 50_000;
 
-/// How a request ended, as its caller saw it.
+/// The end of a request as its caller observed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// With a whole answer.
+    /// A complete answer.
     Whole,
-    /// With an error that says whether it may have run.
+    /// An error with a verdict on whether the request ran.
     Failed(Verdict),
-    /// With an error that doesn't say it.
+    /// An error without a verdict.
     NoVerdict,
-    /// Without any word: connections broke at every try.
+    /// Neither a complete answer nor an error: the connections were refused or broke.
     Lost,
 }
 
-/// All that is known of a request that ended.
+/// The outcome and measurements of a request that ended.
 #[derive(Debug)]
 pub struct RequestRecord {
     /// The request.
     pub planned: Planned,
-    /// How it ended.
+    /// The request's outcome.
     pub outcome: Outcome,
-    /// What was wrong with its answer.
+    /// The first fault found in the answer.
     pub fault: Option<AnswerFault>,
-    /// From the scheduled instant to the first token, in microseconds.
+    /// Time from the scheduled time to the first token, in microseconds.
     pub first_token_us: Option<u64>,
-    /// Between tokens, in microseconds.
+    /// Times between successive tokens, in microseconds.
     pub between_us: Vec<u64>,
-    /// From the scheduled instant to the end, in microseconds.
+    /// Time from the scheduled time to the end, in microseconds.
     pub end_us: u64,
-    /// From the scheduled instant to the first call, in microseconds.
+    /// Time from the scheduled time to the first call, in microseconds.
     pub late_us: u64,
-    /// Calls after the first.
+    /// Number of calls after the first.
     pub retries: u64,
-    /// Broken streams that were read on.
+    /// Number of times that a broken stream was resumed.
     pub resumes: u64,
-    /// Nodes that refused the connection.
+    /// Number of connections that nodes refused.
     pub connects_refused: u64,
-    /// The identities it was given.
+    /// The request ids that nodes assigned to it.
     pub requests: Vec<RequestId>,
-    /// Its idempotency key.
+    /// The idempotency key, if it has one.
     pub key: Option<Arc<str>>,
-    /// The text of the error it ended with.
+    /// The text of the error that it ended with.
     pub error_text: Option<String>,
 }
 
-/// Latencies of one band.
+/// Latencies of one band of prompt lengths.
 #[derive(Clone, Debug)]
 pub struct BandTally {
     /// Requests that ended.
     pub ended: u64,
-    /// Those with a whole answer.
+    /// Requests with a complete answer.
     pub whole: u64,
-    /// To the first token, in microseconds.
+    /// Times to the first token, in microseconds.
     pub first_token_us: Histogram<u64>,
-    /// Between tokens, in microseconds.
+    /// Times between successive tokens, in microseconds.
     pub between_us: Histogram<u64>,
-    /// To the end of whole answers, in microseconds.
+    /// Times to the end of complete answers, in microseconds.
     pub end_us: Histogram<u64>,
 }
 
@@ -105,25 +105,25 @@
     }
 }
 
-/// A histogram of microseconds up to [`LONGEST_US`].
+/// Creates a histogram of microseconds up to [`MAX_LATENCY_US`].
 ///
-/// Its range is fixed because `saturating_record` does not widen one that grows by itself: such a
-/// one holds 2 µs at first and reports every latency as that.
+/// The range is fixed because `saturating_record` does not widen an auto-resizing histogram. Such a
+/// histogram starts with a range of 2 µs and would report every latency as that.
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_max(LONGEST_US, SIGNIFICANT_DIGITS)
+    Histogram::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS)
         .expect("the digits and the range are valid")
 }
 
 /// Counts of faults in answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FaultCounts {
-    /// Answers with a token of another's.
+    /// Answers with a token that doesn't belong to the prompt's answer.
     pub crossed: u64,
-    /// Answers with a token that came twice.
+    /// Answers with a repeated token.
     pub doubled: u64,
-    /// Answers declared whole with tokens missing.
+    /// Answers that were declared complete but lack tokens.
     pub short: u64,
-    /// Answers that can't be read.
+    /// Answers with an event that can't be parsed.
     pub malformed: u64,
 }
 
@@ -138,53 +138,53 @@
     }
 }
 
-/// Everything counted in a run.
+/// All counts and latencies of a run.
 #[derive(Clone, Debug)]
 pub struct Tally {
     /// Requests through the system that ended.
     pub ended: u64,
-    /// Whole answers.
+    /// Complete answers.
     pub whole: u64,
-    /// Errors with the verdict that nothing ran.
+    /// Errors with the verdict that the request did not run.
     pub not_run: u64,
-    /// Errors with the verdict that it may have run.
+    /// Errors with the verdict that the request may have run.
     pub may_have_run: u64,
-    /// Errors with the verdict that it ran.
+    /// Errors with the verdict that the request ran.
     pub ran: u64,
-    /// Errors without verdict.
+    /// Errors without a verdict.
     pub no_verdict: u64,
-    /// Requests that got no word.
+    /// Requests with neither a complete answer nor an error.
     pub lost: u64,
-    /// Calls after the first of a request.
+    /// Calls after the first of each request.
     pub retries: u64,
-    /// Broken streams read on.
+    /// Times that a broken stream was resumed.
     pub resumes: u64,
-    /// Connections refused by nodes.
+    /// Connections that nodes refused.
     pub connects_refused: u64,
-    /// Requests whose first call began late, for want of a free thread.
+    /// Requests whose first call started late because no thread was free.
     pub late_starts: u64,
     /// Tokens received.
     pub tokens: u64,
-    /// Calls to services among all.
+    /// Calls to plain services; also included in the other counts.
     pub services: u64,
-    /// Calls under an idempotency key among all.
+    /// Completions with an idempotency key; also included in the other counts.
     pub keyed: u64,
     /// Faults in answers.
     pub faults: FaultCounts,
     /// Latencies of completions through the system, by band.
     pub bands: Vec<BandTally>,
-    /// Latencies of completions sent to an engine directly, by band.
+    /// Latencies of completions sent directly to an engine, by band.
     pub direct_bands: Vec<BandTally>,
-    /// Latencies of completions under an idempotency key, all bands together.
+    /// Latencies of completions with an idempotency key, all bands together.
     pub keyed_latency: BandTally,
-    /// Error texts and how often each came.
+    /// Error texts with the number of their occurrences.
     pub error_texts: BTreeMap<String, u64>,
-    /// For the check of verdicts.
-    pub(crate) claims: Vec<Claim>,
+    /// The verdicts that are compared with upstreams' run counts.
+    pub(crate) reported_verdicts: Vec<ReportedVerdict>,
 }
 
 impl Tally {
-    /// Nothing yet.
+    /// Creates an empty tally.
     pub fn new() -> Self {
         let bands = vec![BandTally::new(); LengthBand::ALL.len()];
         Self {
@@ -207,19 +207,19 @@
             bands,
             keyed_latency: BandTally::new(),
             error_texts: BTreeMap::new(),
-            claims: Vec::new(),
+            reported_verdicts: Vec::new(),
         }
     }
 
-    /// A request ended.
+    /// Records a request that ended.
     pub fn record(&mut self, record: RequestRecord) {
         self.record_latency(&record);
         if record.planned.kind == Kind::Direct {
-            // What an engine does when called directly is no outcome of the system's.
+            // A direct call to an engine is not an outcome of the system.
             return;
         }
         self.count_outcome(&record);
-        self.keep_claim(&record);
+        self.keep_verdict(&record);
         if let Some(text) = record.error_text {
             self.keep_error_text(text);
         }
@@ -261,14 +261,15 @@
         }
     }
 
-    /// Keeps what the check of verdicts needs, and no more: memory grows only with these.
-    fn keep_claim(&mut self, record: &RequestRecord) {
+    /// Keeps a request's verdict only if the check of verdicts needs it, because memory grows with
+    /// each kept verdict.
+    fn keep_verdict(&mut self, record: &RequestRecord) {
         let verdict = match record.outcome {
             Outcome::Failed(verdict) => Some(verdict),
             _ => None,
         };
-        let once = record.key.is_some();
-        if !once && verdict != Some(Verdict::NotRun) {
+        let at_most_once = record.key.is_some();
+        if !at_most_once && verdict != Some(Verdict::NotRun) {
             return;
         }
         let mut ids = record.requests.iter().map(|id| Arc::from(id.to_string()));
@@ -277,10 +278,10 @@
             Kind::KeyedCompletion => ids.collect(),
             Kind::Completion | Kind::Direct => ids.next_back().into_iter().collect(),
         };
-        self.claims.push(Claim {
+        self.reported_verdicts.push(ReportedVerdict {
             keys,
             verdict,
-            once,
+            at_most_once,
         });
     }
 
--- a/crates/load/src/wire.rs
+++ b/crates/load/src/wire.rs
@@ -1,39 +1,39 @@
-//! The JSON shapes of the callers' interface, as far as load reads and writes them.
+//! The JSON types of the callers' interface, with the fields that the load generator uses.
 
 use bluebell_base::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// The data of the last event of a whole answer.
+/// The data of the last event of a complete answer.
 pub const DONE: &str = "[DONE]";
 
 /// The body of `POST /v1/completions`.
 #[derive(Serialize)]
 pub struct CompletionBody<'a> {
-    /// The model.
+    /// The model's name.
     pub model: &'a str,
-    /// The class of work.
+    /// The name of the class of work.
     pub class: &'a str,
-    /// The prompt.
+    /// The prompt's text.
     pub prompt: &'a str,
-    /// The most tokens of the answer.
+    /// The maximum number of answer tokens.
     pub max_tokens: u64,
-    /// Whether the answer comes as events.
+    /// True if the answer is streamed as events.
     pub stream: bool,
 }
 
 /// One chunk of a streamed answer.
 #[derive(Debug, Default, Deserialize)]
 pub struct Chunk {
-    /// The request.
+    /// The request's id.
     #[serde(default)]
     pub id: Option<String>,
-    /// The pieces; one per chunk.
+    /// The pieces of the answer, one per chunk.
     #[serde(default)]
     pub choices: Vec<Choice>,
-    /// Counts, in the last chunk.
+    /// The answer's token count, in the last chunk.
     #[serde(default)]
     pub usage: Option<Usage>,
-    /// The failure, where the stream ends with one.
+    /// The failure, if the stream ends with one.
     #[serde(default)]
     pub error: Option<ErrorBody>,
 }
@@ -41,15 +41,15 @@
 /// One piece of an answer.
 #[derive(Debug, Default, Deserialize)]
 pub struct Choice {
-    /// Its text.
+    /// The text of the piece.
     #[serde(default)]
     pub text: Option<String>,
 }
 
-/// Counts of a whole answer.
+/// The token count of a complete answer.
 #[derive(Debug, Deserialize)]
 pub struct Usage {
-    /// Tokens of the answer.
+    /// The number of tokens in the answer.
     pub completion_tokens: u64,
 }
 
@@ -60,19 +60,19 @@
     pub error: ErrorBody,
 }
 
-/// A failure as callers see it.
+/// A failure as reported to callers.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ErrorBody {
-    /// Whether the request may have run.
+    /// The verdict on whether the request ran.
     #[serde(default)]
     pub verdict: Option<Verdict>,
-    /// What kind of failure it was.
+    /// The kind of failure.
     #[serde(default)]
     pub kind: Option<ErrorKind>,
-    /// What happened.
+    /// The error message.
     #[serde(default)]
     pub message: Option<String>,
-    /// The request's identity, where it got one.
+    /// The request's id, if one was assigned.
     #[serde(default)]
     pub request: Option<String>,
 }
--- a/crates/load/tests/answers.rs
+++ b/crates/load/tests/answers.rs
@@ -1,4 +1,5 @@
-//! The check of answers, against a scripted server that gives right and wrong ones.
+//! Tests the check of answers and the report's counts against a server with scripted answers, both
+//! correct and faulty.
 
 use bluebell_base::prelude::*;
 use bluebell_load::{
@@ -13,10 +14,10 @@
 
 const REQUEST: &str = "req-0000000000000007-1";
 
-/// How long the server takes for each answer.
+/// The server's delay before each answer.
 const ANSWER_DELAY: Duration = Duration::from_millis(20);
 
-/// Every prompt's answer is `t0 t1 t2`.
+/// An oracle whose answer to every prompt is `t0 t1 t2`.
 struct ThreeTokens;
 
 impl Oracle for ThreeTokens {
@@ -35,10 +36,10 @@
     }
 }
 
-/// Upstreams that ran the one request so often.
-struct Ran(u64);
+/// A source that reports this number of runs for the request with the id [`REQUEST`].
+struct ReportedRuns(u64);
 
-impl RunSource for Ran {
+impl RunSource for ReportedRuns {
     fn counts(&self) -> RunCounts {
         let count = RunCount {
             key: REQUEST.into(),
@@ -52,9 +53,9 @@
     }
 }
 
-/// What the server saw of one call.
+/// One call as the server received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Seen {
+struct ReceivedCall {
     call: String,
     key: Option<String>,
     cursor: Option<String>,
@@ -67,46 +68,46 @@
     body: String,
 }
 
-/// A server that gives its replies in turn.
-struct Scripted {
+/// A server that sends its scripted replies in turn.
+struct ScriptedServer {
     address: Address,
     server: Arc<Server>,
-    seen: Arc<Mutex<Vec<Seen>>>,
+    received: Arc<Mutex<Vec<ReceivedCall>>>,
     thread: JoinHandle<()>,
 }
 
-impl Scripted {
+impl ScriptedServer {
     fn bind(replies: Vec<Reply>) -> Self {
         let server = Arc::new(Server::http("127.0.0.1:0").expect("a free port"));
         let address = server.server_addr().to_ip().expect("an IP address");
-        let seen = Arc::new(Mutex::new(Vec::new()));
+        let received = Arc::new(Mutex::new(Vec::new()));
         let thread = std::thread::spawn({
-            let (server, seen) = (server.clone(), seen.clone());
-            move || serve(&server, replies.into(), &seen)
+            let (server, received) = (server.clone(), received.clone());
+            move || serve(&server, replies.into(), &received)
         });
         Self {
             address: Address::from(address.to_string().as_str()),
             server,
-            seen,
+            received,
             thread,
         }
     }
 
-    fn stop(self) -> Vec<Seen> {
+    fn stop(self) -> Vec<ReceivedCall> {
         self.server.unblock();
         self.thread.join().expect("the server ends");
-        self.seen.lock().expect("no panic").clone()
+        self.received.lock().expect("no panic").clone()
     }
 }
 
-fn serve(server: &Server, mut replies: VecDeque<Reply>, seen: &Mutex<Vec<Seen>>) {
+fn serve(server: &Server, mut replies: VecDeque<Reply>, received: &Mutex<Vec<ReceivedCall>>) {
     for mut request in server.incoming_requests() {
         if request.url() == "/readyz" {
             let _ = request.respond(Response::empty(200));
             continue;
         }
         std::io::copy(request.as_reader(), &mut std::io::sink()).expect("a body");
-        seen.lock().expect("no panic").push(Seen {
+        received.lock().expect("no panic").push(ReceivedCall {
             call: format!("{} {}", request.method(), request.url()),
             key: header(&request, "idempotency-key"),
             cursor: header(&request, "last-event-id"),
@@ -114,7 +115,7 @@
         std::thread::sleep(ANSWER_DELAY);
         let reply = replies.pop_front().unwrap_or(Reply {
             status: 500,
-            body: "the script is at its end".into(),
+            body: "no scripted reply is left".into(),
         });
         let id = Header::from_bytes("x-request-id", REQUEST).expect("a header");
         let response = Response::new(
@@ -136,7 +137,7 @@
     found.map(|header| header.value.to_string())
 }
 
-/// A stream of tokens by number, with its end.
+/// Returns a stream of the numbered tokens, followed by `end`.
 fn stream(tokens: &[u64], end: &str) -> Reply {
     let mut body = String::from(": keep-alive\n\n");
     for token in tokens {
@@ -148,16 +149,16 @@
 }
 
 const DONE: &str = "data: [DONE]\n\n";
-const CUT: &str = "data: {\"id\":";
+const TRUNCATED: &str = "data: {\"id\":";
 
 fn error(status: u16, kind: &str, verdict: &str) -> Reply {
     let body = format!(r#"{{"error":{{"kind":"{kind}","verdict":"{verdict}","message":"no"}}}}"#);
     Reply { status, body }
 }
 
-/// Sends one request to the script.
-fn load(replies: Vec<Reply>, keyed: bool, runs: u64) -> (Report, Vec<Seen>) {
-    let server = Scripted::bind(replies);
+/// Sends one request to a server with these replies and returns the report and the calls received.
+fn load(replies: Vec<Reply>, keyed: bool, runs: u64) -> (Report, Vec<ReceivedCall>) {
+    let server = ScriptedServer::bind(replies);
     let mut plan = LoadPlan::new(
         vec![server.address.clone(), server.address.clone()],
         AccountKey::new("key"),
@@ -172,12 +173,12 @@
         share: 1.0,
     });
     plan.oracle = Some(Arc::new(ThreeTokens));
-    plan.run_source = Some(Arc::new(Ran(runs)));
-    let report = bluebell_load::spawn(plan).expect("a right plan").join();
+    plan.run_source = Some(Arc::new(ReportedRuns(runs)));
+    let report = bluebell_load::spawn(plan).expect("a valid plan").join();
     (report, server.stop())
 }
 
-/// The counts of a report that are not zero.
+/// Returns the nonzero counts of a report as text.
 fn counts(report: &Report) -> String {
     let faults = &report.faults;
     let counts = [
@@ -196,51 +197,51 @@
         ("untrue_not_run", faults.untrue_not_run),
         ("ran_twice", faults.ran_twice),
     ];
-    let set: Vec<String> = counts
+    let nonzero: Vec<String> = counts
         .iter()
         .filter(|(_, count)| *count > 0)
         .map(|(name, count)| format!("{name} {count}"))
         .collect();
-    set.join(", ")
+    nonzero.join(", ")
 }
 
 #[test]
-fn each_answer_is_counted_for_what_it_is() {
+fn each_kind_of_answer_is_counted() {
     let usage = "data: {\"usage\":{\"completion_tokens\":3}}\n\n";
     let failed = "event: error\ndata: {\"error\":{\"verdict\":\"ran\",\"message\":\"x\"}}\n\n";
     let whole = || stream(&[0, 1, 2], DONE);
     let cases = [
-        ("right", vec![whole()], false, 1, "whole 1"),
+        ("correct", vec![whole()], false, 1, "whole 1"),
         (
-            "right count",
+            "correct count",
             vec![stream(&[0, 1, 2], &format!("{usage}{DONE}"))],
             false,
             1,
             "whole 1",
         ),
         (
-            "another's token",
+            "foreign token",
             vec![stream(&[0, 7, 2], DONE)],
             false,
             1,
             "whole 1, crossed 1",
         ),
         (
-            "a token twice",
+            "repeated token",
             vec![stream(&[0, 1, 1, 2], DONE)],
             false,
             1,
             "whole 1, doubled 1",
         ),
         (
-            "a token skipped",
+            "skipped token",
             vec![stream(&[0, 2], DONE)],
             false,
             1,
             "whole 1, crossed 1",
         ),
         (
-            "the end missing",
+            "missing last token",
             vec![stream(&[0, 1], DONE)],
             false,
             1,
@@ -261,7 +262,7 @@
             "whole 1, malformed 1",
         ),
         (
-            "failed inside",
+            "failed during the stream",
             vec![stream(&[0], failed)],
             false,
             1,
@@ -275,14 +276,14 @@
             "not_run 1",
         ),
         (
-            "refused untruly",
+            "refused but ran",
             vec![error(429, "overloaded", "not_run")],
             false,
             1,
             "not_run 1, untrue_not_run 1",
         ),
         (
-            "unsure",
+            "may have run",
             vec![error(502, "upstream", "may_have_run")],
             false,
             1,
@@ -299,25 +300,31 @@
             "no_verdict 1",
         ),
         (
-            "sent again",
+            "retried",
             vec![error(503, "unavailable", "not_run"), whole()],
             true,
             1,
             "whole 1, retries 1",
         ),
         ("ran twice", vec![whole()], true, 2, "whole 1, ran_twice 1"),
-        ("may run twice", vec![whole()], false, 2, "whole 1"),
         (
-            "read on",
-            vec![stream(&[0], CUT), stream(&[1, 2], DONE)],
+            "repeatable request ran twice",
+            vec![whole()],
+            false,
+            2,
+            "whole 1",
+        ),
+        (
+            "resumed",
+            vec![stream(&[0], TRUNCATED), stream(&[1, 2], DONE)],
             true,
             1,
             "whole 1, resumes 1",
         ),
         (
-            "read on refused",
+            "first resumption refused",
             vec![
-                stream(&[0], CUT),
+                stream(&[0], TRUNCATED),
                 error(503, "unavailable", "not_run"),
                 stream(&[1, 2], DONE),
             ],
@@ -326,15 +333,18 @@
             "whole 1, resumes 2",
         ),
         (
-            "nothing to read on",
-            vec![stream(&[0], CUT), error(404, "not_found", "may_have_run")],
+            "no stream to resume",
+            vec![
+                stream(&[0], TRUNCATED),
+                error(404, "not_found", "may_have_run"),
+            ],
             true,
             1,
             "may_have_run 1, resumes 1",
         ),
         (
-            "read on doubled",
-            vec![stream(&[0], CUT), stream(&[0, 1, 2], DONE)],
+            "resumed with a repeated token",
+            vec![stream(&[0], TRUNCATED), stream(&[0, 1, 2], DONE)],
             true,
             1,
             "whole 1, resumes 1, doubled 1",
@@ -347,7 +357,7 @@
 }
 
 #[test]
-fn latencies_are_those_that_passed() {
+fn latencies_lie_between_the_delay_and_the_duration() {
     let (report, _) = load(vec![stream(&[0, 1, 2], DONE)], false, 1);
     let band = report.bands.first().expect("one band");
     let delay_ms = ANSWER_DELAY.as_millis() as f64;
@@ -359,28 +369,31 @@
 }
 
 #[test]
-fn every_try_carries_the_same_key_and_reading_on_the_last_cursor() {
+fn every_attempt_carries_the_same_key_and_resumption_the_last_cursor() {
     let replies = vec![
         error(503, "unavailable", "not_run"),
-        stream(&[0, 1], CUT),
+        stream(&[0, 1], TRUNCATED),
         stream(&[2], DONE),
     ];
-    let (_, seen) = load(replies, true, 1);
-    let key = seen[0].key.clone();
+    let (_, received) = load(replies, true, 1);
+    let key = received[0].key.clone();
     assert!(key.is_some());
-    let calls: Vec<&str> = seen.iter().map(|seen| seen.call.as_str()).collect();
+    let calls: Vec<&str> = received
+        .iter()
+        .map(|received| received.call.as_str())
+        .collect();
     let events = format!("GET /v1/requests/{REQUEST}/events");
     assert_eq!(
         calls,
         ["POST /v1/completions", "POST /v1/completions", &events]
     );
-    assert_eq!(seen[1].key, key);
-    assert_eq!(seen[2].cursor.as_deref(), Some("cursor-1"));
+    assert_eq!(received[1].key, key);
+    assert_eq!(received[2].cursor.as_deref(), Some("cursor-1"));
 }
 
 #[test]
-fn a_node_that_refuses_connections_is_passed_over() {
-    let server = Scripted::bind(vec![stream(&[0, 1, 2], DONE); 4]);
+fn a_node_that_refuses_connections_is_skipped() {
+    let server = ScriptedServer::bind(vec![stream(&[0, 1, 2], DONE); 4]);
     let free = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let closed = free.local_addr().expect("an address").to_string();
     drop(free);
@@ -390,13 +403,13 @@
     plan.rate = PerSecond(1_000.0);
     plan.mix = Mix::Fixed(Tokens(1_000));
     plan.oracle = Some(Arc::new(ThreeTokens));
-    let report = bluebell_load::spawn(plan).expect("a right plan").join();
+    let report = bluebell_load::spawn(plan).expect("a valid plan").join();
     server.stop();
     assert_eq!(counts(&report), "whole 4", "{report}");
 }
 
 #[test]
-fn a_fleet_that_is_down_ends_the_request() {
+fn a_request_ends_when_the_whole_fleet_is_down() {
     let free = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let closed = free.local_addr().expect("an address").to_string();
     drop(free);
@@ -404,17 +417,17 @@
     let mut plan = LoadPlan::new(targets, AccountKey::new("key"), ClassName::from("draft"));
     plan.requests = 1;
     plan.mix = Mix::Fixed(Tokens(1_000));
-    let report = bluebell_load::spawn(plan).expect("a right plan").join();
+    let report = bluebell_load::spawn(plan).expect("a valid plan").join();
     assert_eq!(counts(&report), "lost 1", "{report}");
 }
 
-/// An operator reads 0.0 ms for every latency of a run that took a minute: the histograms kept
-/// their first range of 2 µs and clamped whatever was recorded to it.
+/// Guards against histograms that keep their initial range of 2 µs and clamp every latency to it. The
+/// report of a run that took a minute would then show 0.0 ms for every latency.
 #[test]
-fn latencies_are_counted_in_full() {
+fn latencies_are_not_clamped() {
     let replies = vec![
         error(503, "unavailable", "not_run"),
-        stream(&[0, 1], CUT),
+        stream(&[0, 1], TRUNCATED),
         stream(&[2], DONE),
     ];
     let begin = std::time::Instant::now();
@@ -422,18 +435,18 @@
     let whole_ms = begin.elapsed().as_secs_f64() * 1_000.0;
     let ended = report.bands.iter().find(|band| band.ended == 1);
     let end_ms = ended.expect("one band has the request").end.max_ms;
-    // The tries and the reading on wait in between, so that the whole answer takes a while.
+    // The server's delays and the wait before the resumption make the answer take well over 5 ms.
     assert!(
         (5.0..=whole_ms).contains(&end_ms),
         "{end_ms} of {whole_ms} ms"
     );
 }
 
-/// A run is ended early, as an operator does by hand. Its report named all requests of the schedule
-/// as offered, so those that never began looked lost.
+/// Guards against a report that counts all requests of the schedule as offered after the run was
+/// stopped early. Requests that were never started would then look lost.
 #[test]
-fn a_run_that_is_stopped_offers_what_it_began() {
-    let server = Scripted::bind(vec![stream(&[0, 1, 2], DONE); 50]);
+fn a_stopped_run_offers_only_the_started_requests() {
+    let server = ScriptedServer::bind(vec![stream(&[0, 1, 2], DONE); 50]);
     let mut plan = LoadPlan::new(
         vec![server.address.clone()],
         AccountKey::new("key"),
@@ -441,7 +454,7 @@
     );
     plan.requests = 1_000_000;
     plan.rate = PerSecond(20.0);
-    let run = bluebell_load::spawn(plan).expect("a right plan");
+    let run = bluebell_load::spawn(plan).expect("a valid plan");
     while run.ended() == 0 {
         std::thread::sleep(std::time::Duration::from_millis(10));
     }
--- a/crates/load/tests/schedule.rs
+++ b/crates/load/tests/schedule.rs
@@ -1,4 +1,5 @@
-//! The schedule and the prompts: the same plan gives the same load, within the mix's bounds.
+//! Tests that the same plan gives the same schedule, and that the schedule and the prompts follow the
+//! plan and the mix's bounds.
 
 use bluebell_base::prelude::*;
 use bluebell_load::{
@@ -32,7 +33,7 @@
 }
 
 #[test]
-fn arrivals_keep_the_rate_and_ascend() {
+fn arrivals_ascend_at_the_planned_rate() {
     let schedule = Schedule::of(&plan()).0;
     assert!(
         schedule
@@ -73,22 +74,22 @@
         },
     );
     let schedule = Schedule::of(&plan).0;
-    let right_class =
+    let is_expected_class =
         |p: &bluebell_load::Planned| (p.class == 0) == (p.prompt_tokens <= Tokens(4_000));
-    assert!(schedule.iter().all(right_class));
+    assert!(schedule.iter().all(is_expected_class));
     let keyed = schedule.iter().filter(|p| p.kind == Kind::KeyedCompletion);
     let share = keyed.count() as f64 / schedule.len() as f64;
     assert!((0.23..0.27).contains(&share), "{share}");
 }
 
 #[test]
-fn a_faulty_plan_names_every_fault() {
+fn an_invalid_plan_reports_every_problem() {
     let mut plan = plan();
     plan.targets.clear();
     plan.rate = PerSecond(0.0);
     plan.keyed = Some(keyed(1.5));
     plan.classes[0].up_to_tokens = Some(Tokens(10));
-    let errors = plan.check().expect_err("it is faulty");
+    let errors = plan.check().expect_err("an invalid plan");
     assert_eq!(
         errors,
         [
@@ -107,7 +108,7 @@
 }
 
 #[test]
-fn prompts_have_their_length_and_are_never_the_same() {
+fn prompts_have_the_requested_length_and_differ() {
     let maker = PromptMaker::new(7);
     for prompt_tokens in [Tokens(1_000), Tokens(1_001), Tokens(250_000)] {
         let first = maker.prompt(1, 0, prompt_tokens, Tokens(100));
@@ -119,7 +120,7 @@
 }
 
 #[test]
-fn mixes_print_and_parse_alike() {
+fn mixes_parse_from_their_printed_form() {
     for mix in [Mix::Mixed, Mix::Short, Mix::Long, Mix::Fixed(Tokens(5))] {
         assert_eq!(mix.to_string().parse(), Ok(mix));
     }
