--- a/crates/load/src/exchange.rs
+++ b/crates/load/src/exchange.rs
@@ -20,8 +20,8 @@
 use ureq::Body;
 use ureq::http::Response;
 
-/// The delay before a broken stream is first resumed, which gives the nodes time to detect that one
-/// of them died. It doubles with each further resumption.
+/// The delay before a broken stream is first resumed, so that a node that just died is detected as
+/// dead. It doubles with each further resumption.
 const RESUME_PAUSE: Duration = Duration::from_millis(100);
 
 /// The longest delay before a stream is resumed.
