--- a/crates/telemetry/src/dump.rs
+++ b/crates/telemetry/src/dump.rs
@@ -5,19 +5,20 @@
 use serde_json::{Map, Value};
 use std::sync::Arc;
 
-/// A state dump that is being put together.
+/// A state dump under construction.
 #[derive(Clone, Debug, Default)]
 pub struct StateDump {
     sections: Map<String, Value>,
 }
 
 impl StateDump {
-    /// A dump without sections.
+    /// Creates a dump without sections.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds a section from a serializable value; one that can't be serialized says why instead.
+    /// Adds a section from a serializable value. If the value can't be serialized, the section is a
+    /// string with the error.
     pub fn section(&mut self, name: &str, state: &impl serde::Serialize) -> &mut Self {
         let value = serde_json::to_value(state)
             .unwrap_or_else(|error| Value::String(format!("can't be shown: {error}")));
@@ -25,21 +26,22 @@
         self
     }
 
-    /// Adds a section from text: JSON as it is, anything else as lines.
+    /// Adds a section from text. JSON is embedded as it is; other text becomes an array of its lines,
+    /// or a string if it is a single line.
     pub fn text(&mut self, name: &str, text: &str) -> &mut Self {
         let value = serde_json::from_str(text).unwrap_or_else(|_| lines(text));
         self.sections.insert(name.to_owned(), value);
         self
     }
 
-    /// The dump as indented JSON.
+    /// Returns the dump as indented JSON.
     pub fn render(&self) -> Arc<str> {
         let value = Value::Object(self.sections.clone());
         format!("{value:#}").into()
     }
 }
 
-/// The text's lines as an array of strings; a single line as a string.
+/// Returns the text's lines as an array of strings, or a string if there is a single line.
 fn lines(text: &str) -> Value {
     let mut lines: Vec<Value> = text.lines().map(Value::from).collect();
     if lines.len() == 1 {
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,8 +1,10 @@
-//! What a process tells of itself: log lines, metrics and the state dump.
+//! Log lines, metrics and the state dump of a process.
 //!
-//! Terms: a *band* is a range of prompt lengths; a *section* is one part's word in a state dump.
+//! Terms: a *band* is a range of prompt lengths; a *section* is the state of one part of the
+//! process in a state dump.
 //!
-//! Invariants: no secret reaches a log line, a metric or a dump, because none is handed in here.
+//! Invariants: no log line, metric or dump contains a secret, because callers pass none to this
+//! package.
 
 pub mod dump;
 pub mod logs;
--- a/crates/telemetry/src/logs.rs
+++ b/crates/telemetry/src/logs.rs
@@ -1,10 +1,10 @@
-//! The log set-up: `logforth` behind the `log` facade, as text or as JSON lines, with levels by
+//! Set-up of the log: `logforth` behind the `log` facade, as lines of text or JSON, with levels per
 //! module.
 //!
-//! Terms: a *directive* is `level` (for everything) or `module=level`; the module is a package of
-//! this workspace by its short name (`requests`) or any module path.
+//! Terms: a *directive* is `level` (for all modules) or `module=level`. The module is the short name
+//! of a package of this workspace (`requests`) or any module path.
 //!
-//! Invariants: key-values given to a `log` macro (`request = id`) appear in its line in both
+//! Invariants: key-values passed to a `log` macro (`request = id`) appear in its line in both
 //! formats.
 
 use bluebell_base::text::ParseError;
@@ -16,7 +16,7 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// The packages whose short names may stand in a directive.
+/// The short names of packages that a directive may use in place of a module path.
 const PACKAGES: [&str; 25] = [
     "adapter",
     "base",
@@ -45,12 +45,12 @@
     "upstreams",
 ];
 
-/// The form of log lines.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// One line of text for a person.
+    /// Lines of text for people.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -75,10 +75,10 @@
     }
 }
 
-/// One directive: how much of a module is logged.
+/// The level of one module or of all modules.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Directive {
-    /// The module as written; none: everything.
+    /// The module as written in the setting. `None` stands for all modules.
     module: Option<Arc<str>>,
     /// The least severe level that is logged.
     level: log::LevelFilter,
@@ -113,25 +113,25 @@
     }
 }
 
-/// Levels by module, such as `info,requests=debug`.
+/// Log levels per module, such as `info,requests=debug`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogLevels(Vec<Directive>);
 
 impl LogLevels {
-    /// The least severe level that any directive lets through.
+    /// Returns the least severe level that any directive logs.
     fn max_level(&self) -> log::LevelFilter {
         let levels = self.0.iter().map(|directive| directive.level);
         levels.max().unwrap_or(log::LevelFilter::Off)
     }
 
-    /// The filter, with short package names turned into module paths.
+    /// Returns the filter of these levels, with short package names replaced by module paths.
     fn filter(&self) -> RustLogFilter {
         let directives: Vec<String> = self.0.iter().map(with_module_path).collect();
         RustLogFilter::from(directives.join(",").as_str())
     }
 }
 
-/// Writes a directive with its module's full path.
+/// Returns a directive's text with the full path of its module.
 fn with_module_path(directive: &Directive) -> String {
     match &directive.module {
         Some(module) if PACKAGES.contains(&&**module) => format!("bluebell_{directive}"),
@@ -158,7 +158,7 @@
     }
 }
 
-/// The log can't be opened.
+/// The error of a log that can't be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum LogError {
     /// The process already has a logger.
@@ -169,7 +169,7 @@
 /// Opens the process's log on standard error.
 ///
 /// # Errors
-/// [`LogError::AlreadyOpen`] where a logger was set before.
+/// Returns [`LogError::AlreadyOpen`] if the process already has a logger.
 pub fn open_logs(format: LogFormat, levels: &LogLevels) -> Result<(), LogError> {
     let append = logforth::append::Stderr::default().with_layout(layout(format));
     log::set_boxed_logger(Box::new(logger(levels, append)))?;
@@ -177,7 +177,7 @@
     Ok(())
 }
 
-/// A logger with the levels given that writes to `append`.
+/// Returns a logger that writes the records within `levels` to `append`.
 pub fn logger(levels: &LogLevels, append: impl Into<Box<dyn Append>>) -> LogBridge {
     let built = logforth::core::builder()
         .dispatch(|dispatch| dispatch.filter(levels.filter()).append(append))
@@ -185,7 +185,7 @@
     LogBridge::new(built)
 }
 
-/// The layout of log lines in a format.
+/// Returns the layout of log lines for a format.
 pub fn layout(format: LogFormat) -> Box<dyn Layout> {
     match format {
         LogFormat::Text => Box::new(TextLayout::default().no_color()),
--- a/crates/telemetry/src/metrics/instruments.rs
+++ b/crates/telemetry/src/metrics/instruments.rs
@@ -1,8 +1,9 @@
-//! The instruments behind the metrics, in groups, each with its name and help text.
+//! The instruments that record the metrics, in groups, with their names and help texts.
 
 use opentelemetry::metrics::{Counter, Gauge, Histogram, Meter};
 
-/// Bucket bounds of the times to first token and to the end, in milliseconds.
+/// Bucket bounds of the times from a request's arrival to its first token and to the end of its
+/// answer, in milliseconds.
 const FIRST_TOKEN_BOUNDS_MS: [f64; 16] = [
     10.0, 25.0, 50.0, 100.0, 200.0, 400.0, 600.0, 800.0, 1_000.0, 2_000.0, 4_000.0, 8_000.0,
     16_000.0, 32_000.0, 64_000.0, 128_000.0,
@@ -13,7 +14,7 @@
     5.0, 10.0, 20.0, 30.0, 40.0, 53.0, 75.0, 100.0, 200.0, 500.0, 1_000.0, 5_000.0,
 ];
 
-/// How long answers take.
+/// Histograms of answer latencies, in milliseconds.
 #[derive(Debug)]
 pub(super) struct Times {
     pub(super) first_token: Histogram<f64>,
@@ -46,7 +47,7 @@
     }
 }
 
-/// What becomes of requests.
+/// Counters of request outcomes, and the gauge of requests in flight.
 #[derive(Debug)]
 pub(super) struct RequestCounts {
     pub(super) admitted: Counter<u64>,
@@ -86,7 +87,7 @@
     }
 }
 
-/// What becomes of attempts.
+/// Counters of attempts and their outcomes.
 #[derive(Debug)]
 pub(super) struct AttemptCounts {
     pub(super) attempts: Counter<u64>,
@@ -126,7 +127,7 @@
     }
 }
 
-/// What control costs, and what is in force.
+/// Counters of control work and traffic, and the version of the configuration in force.
 #[derive(Debug)]
 pub(super) struct ControlCounts {
     pub(super) claims: Counter<u64>,
--- a/crates/telemetry/tests/logs.rs
+++ b/crates/telemetry/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines in both formats, and levels by module.
+//! Tests of log lines in both formats and of levels per module.
 
 use bluebell_telemetry::{LogFormat, LogLevels, logs};
 use log::{Level, Log, Record};
@@ -6,7 +6,7 @@
 use logforth::{Append, Diagnostic, Error, Layout};
 use std::sync::{Arc, Mutex};
 
-/// Keeps formatted lines.
+/// Collects formatted lines.
 #[derive(Debug)]
 struct Lines {
     layout: Box<dyn Layout>,
@@ -26,7 +26,7 @@
     }
 }
 
-/// Logs one message of a target and returns the lines that came out.
+/// Logs one message with a target and returns the lines that were written.
 fn lines(format: LogFormat, levels: &str, target: &str, level: Level) -> Vec<String> {
     let kept = Arc::new(Mutex::new(Vec::new()));
     let append = Lines {
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn the_request_stands_in_each_line() {
+fn lines_of_both_formats_contain_the_request() {
     let target = "bluebell_requests::attempt";
     let text = lines(LogFormat::Text, "info", target, Level::Info);
     assert_eq!(text.len(), 1);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn levels_go_by_module() {
+fn levels_apply_per_module() {
     let requests = "bluebell_requests::attempt";
     let cases = [
         ("info", requests, Level::Info, true),
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn levels_print_and_parse_alike() {
+fn levels_round_trip_through_text() {
     for text in ["info", "warn,requests=debug", "off,a::b=trace"] {
         let levels: LogLevels = text.parse().expect("levels");
         assert_eq!(levels.to_string(), text);
@@ -107,16 +107,16 @@
     }
 }
 
-/// An operator asks for `pool_guard=debug` and sees nothing: the package came after the list of
-/// short names, so its directive was taken for a module path that no line has.
+/// Guards against a package that is missing from the list of short names: a directive such as
+/// `pool_guard=debug` is then taken for a module path that no line has, and nothing is logged.
 #[test]
-fn every_package_goes_by_its_short_name() {
+fn every_package_has_a_short_name() {
     let packages = concat!(env!("CARGO_MANIFEST_DIR"), "/..");
     for package in std::fs::read_dir(packages).expect("the workspace's packages") {
         let name = package.expect("an entry").file_name();
         let short = name.to_string_lossy().replace('-', "_");
         if short == "ctl" {
-            // The one package whose module path has no `bluebell_` before the short name.
+            // The only package whose module path doesn't begin with `bluebell_`.
             continue;
         }
         let (levels, target) = (format!("off,{short}=debug"), format!("bluebell_{short}"));
--- a/crates/telemetry/tests/metrics.rs
+++ b/crates/telemetry/tests/metrics.rs
@@ -1,9 +1,9 @@
-//! Metrics as rendered, and the state dump.
+//! Tests of the rendered metrics and of the state dump.
 
 use bluebell_base::prelude::*;
 use bluebell_telemetry::{Metrics, Peer, StateDump};
 
-/// The rendered lines that are values and not zero.
+/// Returns the rendered lines without those of comments.
 fn values(metrics: &Metrics) -> Vec<String> {
     let text = metrics.render().expect("text");
     let lines = text.lines().filter(|line| !line.starts_with('#'));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn two_nodes_of_one_process_do_not_mix() {
+fn two_nodes_in_one_process_have_separate_metrics() {
     let first = Metrics::open().expect("metrics");
     let second = Metrics::open().expect("metrics");
     first.claims(1);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_dump_is_json_whatever_its_sections_are() {
+fn a_dump_is_valid_json_for_any_section() {
     let mut dump = StateDump::new();
     dump.section("leases", &[1, 2])
         .text("policy", r#"{"engines":3}"#)
