--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -1,5 +1,5 @@
-//! The node on the users' platform: settings from the file that the platform hands it, one thread
-//! that serves.
+//! The node on the users' platform: reads its settings from the platform's settings file and serves
+//! on one thread.
 
 use argh::FromArgs;
 use bluebell_adapter::{PlatformSettings, SETTINGS_PATH_VARIABLE};
@@ -9,7 +9,7 @@
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 
-/// The exit code for settings that can't be used.
+/// The exit code for invalid settings.
 const EXIT_SETTINGS: u8 = 2;
 
 /// Serve on the users' platform.
@@ -23,7 +23,8 @@
     check: bool,
 }
 
-/// Runs until a planned stop has ended.
+/// Runs the node until its planned stop is complete, and returns the program's exit code. `args` are
+/// the arguments after `front`.
 pub fn run(args: &[&str]) -> ExitCode {
     let flags = match Flags::from_args(&["bluebellpond", "front"], args) {
         Ok(flags) => flags,
--- a/crates/node/src/hub/admin.rs
+++ b/crates/node/src/hub/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' calls.
+//! Calls from operators to the administration API.
 
 use super::Hub;
 use bluebell_base::prelude::*;
@@ -12,27 +12,27 @@
 use serde::Serialize;
 use stakker::{CX, Ret, call, ret_some_to};
 
-/// Who is there, as the administration API tells it.
+/// The nodes and upstreams as the administration API returns them.
 #[derive(Debug, Serialize)]
 struct FleetView {
-    /// The node asked.
+    /// The node that answers the call.
     this: NodeCard,
-    /// The live nodes it knows.
+    /// The live nodes that it knows.
     nodes: Vec<NodeCard>,
-    /// The upstreams it knows.
+    /// The upstreams that it knows.
     upstreams: Vec<VmEntry>,
 }
 
 impl Hub {
-    /// An operator calls.
+    /// Handles a call from an operator.
     pub fn on_admin(&mut self, cx: CX![], call: AdminCall) {
         match call {
             AdminCall::Config(reply) => {
-                let ret = Ret::new(move |seen| reply(config_text(seen)));
+                let ret = Ret::new(move |current| reply(config_text(current)));
                 call!([self.parts.control], in_force(ret));
             }
             AdminCall::History(reply) => {
-                let ret = Ret::new(move |seen| reply(history(seen)));
+                let ret = Ret::new(move |versions| reply(history(versions)));
                 call!([self.parts.control], history(ret));
             }
             AdminCall::Publish { base, body, reply } => {
@@ -55,6 +55,7 @@
         }
     }
 
+    /// Returns an error with the reason if the node isn't ready for callers.
     pub(super) fn ready(&self) -> Result<(), Error> {
         let not_ready = |why: &str| Err(Error::not_run(ErrorKind::Unavailable, why));
         if self.stopping {
@@ -78,7 +79,7 @@
         Ok(text.into())
     }
 
-    /// Brings the metrics up to what the peer interface has counted.
+    /// Adds the traffic that the peer interface has counted since the last call to the metrics.
     fn count_peer_bytes(&mut self) {
         let stats = &self.parts.peer_stats;
         let counts = CallKind::ALL.into_iter().map(|kind| stats.count(kind));
@@ -103,7 +104,7 @@
         Ok(text.into())
     }
 
-    /// Collects the parts' dumps one after the other; each part answers at once.
+    /// Collects the parts' dumps one after another. Each part answers at once.
     fn dump(&mut self, cx: CX![], reply: Reply<Arc<str>>) {
         let mut dump = StateDump::new();
         dump.section("node", &self.card());
@@ -173,10 +174,11 @@
     }
 }
 
-/// The listed upstreams; their own word that they leave goes before the list, which lags.
+/// Returns the listed upstreams. An upstream that reported that it is leaving is returned as leaving,
+/// since the list lags.
 fn upstreams(members: MembersDump) -> Vec<VmEntry> {
     let refused = members.refused;
-    let with_own_word = |mut entry: VmEntry| {
+    let with_reported_state = |mut entry: VmEntry| {
         if refused.iter().any(|name| name.0 == entry.name.0) {
             entry.state = VmState::Leaving;
         }
@@ -184,15 +186,15 @@
     };
     let listed = members.listed.into_iter();
     let upstreams = listed.filter(|entry| entry.role != VmRole::Node);
-    upstreams.map(with_own_word).collect()
+    upstreams.map(with_reported_state).collect()
 }
 
 fn unanswered() -> Error {
     Error::may_have_run(ErrorKind::Unavailable, "the node stopped before an answer")
 }
 
-fn config_text(seen: Option<(ConfigVersion, Arc<str>)>) -> Result<ConfigText, Error> {
-    let (version, body) = seen.ok_or_else(unanswered)?;
+fn config_text(current: Option<(ConfigVersion, Arc<str>)>) -> Result<ConfigText, Error> {
+    let (version, body) = current.ok_or_else(unanswered)?;
     if version == ConfigVersion(0) {
         return Err(Error::not_run(
             ErrorKind::NotFound,
@@ -202,6 +204,6 @@
     Ok(ConfigText { version, body })
 }
 
-fn history(seen: Option<Vec<VersionSeen>>) -> Result<Vec<VersionSeen>, Error> {
-    seen.ok_or_else(unanswered)
+fn history(versions: Option<Vec<VersionSeen>>) -> Result<Vec<VersionSeen>, Error> {
+    versions.ok_or_else(unanswered)
 }
--- a/crates/node/src/hub/agreed.rs
+++ b/crates/node/src/hub/agreed.rs
@@ -1,4 +1,4 @@
-//! What control agreed on, passed to the parts that act on it.
+//! Control's events (configurations and leases), passed to the parts that act on them.
 
 use super::Hub;
 use bluebell_base::prelude::*;
@@ -8,7 +8,7 @@
 use stakker::{CX, call};
 
 impl Hub {
-    /// Control tells of a change.
+    /// Handles a change of the configuration in force or of a lease.
     pub fn on_control(&mut self, cx: CX![], event: ControlEvent) {
         match event {
             ControlEvent::Config { version, config } => self.on_config(cx, version, config),
@@ -26,7 +26,7 @@
         parts.requests.set_config(version, Arc::clone(&config));
         parts.callers.set_config(Arc::clone(&config));
         call!([parts.members], config_changed(version));
-        self.tell_ready();
+        self.update_ready();
     }
 
     fn on_holder(&mut self, cx: CX![], lease: Lease) {
--- a/crates/node/src/hub/fleet.rs
+++ b/crates/node/src/hub/fleet.rs
@@ -1,11 +1,11 @@
-//! Upstreams as membership tells of them: opening their ports, asking engines what they serve,
-//! and polling load and cache events.
+//! Handling of the upstreams that membership reports: opens their ports and polls the engines'
+//! state, load and cache events.
 //!
-//! Terms: an engine is *known* once it has told its models and memory; the *turn* is the engine
-//! polled next.
+//! Terms: an engine is *known* once it has reported its models and KV capacity; a *turn* is one poll
+//! of an engine.
 //!
-//! Invariants: a node sends a fixed number of polls a second however many engines there are, so
-//! its control traffic doesn't grow with the fleet; what the polls miss rides on answers.
+//! Load pattern: a node has a fixed number of turns per second whatever the number of engines, so
+//! its control traffic doesn't grow with the fleet. Answers carry the changes between polls.
 
 use super::Hub;
 use bluebell_base::prelude::*;
@@ -18,16 +18,16 @@
 use stakker::{CX, call, fwd_to, ret_some_to};
 use std::rc::Rc;
 
-/// The pause between two polls of engines.
+/// The pause between two turns, in milliseconds.
 const POLL_PAUSE_MS: SpanMs = SpanMs(250);
-/// Every so many turns of an engine its state is asked for too.
+/// The period of state polls, in turns of an engine. They are sent besides the turn's own poll.
 const STATE_TURNS: u64 = 8;
-/// Which of those turns asks for the state.
+/// The turn within each [`STATE_TURNS`] turns in which the state is polled, counted from 0.
 const STATE_TURN: u64 = 7;
-/// Every so many turns of an engine its cache events are asked for; in all others its load.
+/// The period of polls of cache events, in turns of an engine. The other turns poll its load.
 const CACHE_TURNS: u64 = 4;
 
-/// The engines this node knows, in the order of polling.
+/// The listed engines, in the order of polling.
 #[derive(Default)]
 pub struct EngineTable {
     engines: Vec<Engine>,
@@ -71,7 +71,7 @@
     }
 }
 
-/// An engine as the state dump shows it.
+/// An engine's entry in the state dump.
 #[derive(Debug, Serialize)]
 pub(super) struct EngineDump {
     name: UpstreamName,
@@ -93,7 +93,7 @@
         self.engines.engines.iter().map(dump).collect()
     }
 
-    /// Membership tells of a change.
+    /// Handles a change of the upstreams or nodes.
     pub fn on_member(&mut self, cx: CX![], event: MemberEvent) {
         match event {
             MemberEvent::UpstreamLive(entry) => self.on_upstream_live(cx, entry),
@@ -124,7 +124,7 @@
         let port = HttpService::open(self.parts.services.clone(), entry.address);
         self.parts.requests.service_live(service, name, port);
         self.knows_upstream = true;
-        self.tell_ready();
+        self.update_ready();
     }
 
     fn open_engine(&mut self, cx: CX![], name: UpstreamName, entry: VmEntry) {
@@ -138,7 +138,8 @@
             self.announce(&name);
             return;
         }
-        // A replaced VM keeps its name: its port, models and memory are asked anew.
+        // A VM that replaces another has the same name, so its port is opened again and its models
+        // and KV capacity are polled again.
         self.engines.remove(&name);
         let port = HttpEngine::open(
             self.parts.streams.clone(),
@@ -146,8 +147,11 @@
             entry.address.clone(),
             None,
         );
-        let (seen, seen_at) = (entry.clone(), Rc::clone(&port));
-        call!([self.parts.control], engine_updated(seen, seen_at));
+        let (updated_entry, updated_port) = (entry.clone(), Rc::clone(&port));
+        call!(
+            [self.parts.control],
+            engine_updated(updated_entry, updated_port)
+        );
         self.engines.engines.push(Engine {
             entry,
             name: name.clone(),
@@ -159,8 +163,8 @@
             turn: 0,
             cache_next: 0,
         });
-        self.ask_state(cx, &name);
-        self.ask_load(cx, &name);
+        self.poll_state(cx, &name);
+        self.poll_load(cx, &name);
     }
 
     fn on_upstream_leaving(&mut self, _cx: CX![], name: UpstreamName) {
@@ -181,7 +185,7 @@
         self.parts.requests.service_gone(name);
     }
 
-    /// Tells the requests of an engine once all of it is known.
+    /// Announces an engine to the requests part once the engine is known.
     fn announce(&mut self, name: &UpstreamName) {
         let Some(engine) = self.engines.find(name) else {
             return;
@@ -192,7 +196,7 @@
         engine.announced = true;
         let (card, port) = (engine.card(), Rc::clone(&engine.port));
         self.knows_upstream = true;
-        self.tell_ready();
+        self.update_ready();
         self.parts.requests.engine_live(card, port);
     }
 
@@ -209,12 +213,12 @@
         engine.turn += 1;
         let (turn, name) = (engine.turn, engine.name.clone());
         if turn % STATE_TURNS == STATE_TURN || !engine.is_known() {
-            self.ask_state(cx, &name);
+            self.poll_state(cx, &name);
         }
         if turn.is_multiple_of(CACHE_TURNS) {
-            self.ask_cache(cx, &name);
+            self.poll_cache(cx, &name);
         } else {
-            self.ask_load(cx, &name);
+            self.poll_load(cx, &name);
         }
     }
 
@@ -222,7 +226,7 @@
         self.poll_next(cx);
     }
 
-    fn ask_state(&mut self, cx: CX![], name: &UpstreamName) {
+    fn poll_state(&mut self, cx: CX![], name: &UpstreamName) {
         let Some(engine) = self.engines.find(name) else {
             return;
         };
@@ -243,7 +247,7 @@
         self.announce(&name);
     }
 
-    fn ask_load(&mut self, cx: CX![], name: &UpstreamName) {
+    fn poll_load(&mut self, cx: CX![], name: &UpstreamName) {
         let Some(engine) = self.engines.find(name) else {
             return;
         };
@@ -267,7 +271,7 @@
         self.announce(&name);
     }
 
-    fn ask_cache(&mut self, cx: CX![], name: &UpstreamName) {
+    fn poll_cache(&mut self, cx: CX![], name: &UpstreamName) {
         let Some(engine) = self.engines.find(name) else {
             return;
         };
@@ -284,12 +288,12 @@
         self.parts.requests.engine_cache(name, events);
     }
 
-    /// An engine did not take work, perhaps because it leaves: it is asked at once.
+    /// Polls at once the load of an upstream that refused work, since it may be leaving.
     ///
-    /// Guards against a node whose own way to the engines is broken: it would tell its peers that
-    /// all of them leave, and the fleet would send them nothing for a minute. Only the engine's
-    /// own word, in its load report, counts as leaving; a refused connection does not.
+    /// Guards against a node whose connection to the engines is broken: it would report to its peers
+    /// that all engines are leaving, and the fleet would send them nothing for a minute. An engine
+    /// counts as leaving only if its load report says so, not if it refuses a connection.
     pub fn on_upstream_refused(&mut self, cx: CX![], name: UpstreamName) {
-        self.ask_load(cx, &name);
+        self.poll_load(cx, &name);
     }
 }
--- a/crates/node/src/hub/mod.rs
+++ b/crates/node/src/hub/mod.rs
@@ -1,10 +1,11 @@
 //! The hub: the actor that passes each part's events to the parts that need them.
 //!
-//! Terms: the *live nodes* are the nodes' cards as membership last told them; a *poll* asks one
-//! engine for its load or cache events, at a fixed rate for the node, whatever the number of
-//! engines.
+//! Terms: the *live nodes* are the nodes' cards as membership last reported them; a *poll* requests
+//! an engine's load, cache events or state.
 //!
-//! Invariants: the hub decides nothing about requests; it holds no state of theirs.
+//! Load pattern: polls are sent at a fixed rate per node, whatever the number of engines.
+//!
+//! Invariants: the hub makes no decisions about requests and holds none of their state.
 
 mod admin;
 mod agreed;
@@ -29,36 +30,37 @@
 use stakker::{ActorOwn, CX, Core, actor, ret_nop};
 use std::rc::Rc;
 
-/// What the hub passes events between.
+/// The parts that the hub passes events between, and the values that they share.
 pub struct HubParts {
-    /// The settings.
+    /// The node's settings.
     pub settings: Rc<NodeSettings>,
-    /// The time.
+    /// The timers.
     pub timers: Timers,
-    /// What this node says of itself.
+    /// The description of this node that peers receive.
     pub card: NodeCard,
-    /// The requests.
+    /// The part that serves requests.
     pub requests: RequestsHandle,
-    /// What is agreed.
+    /// The part that holds the configuration in force and the leases.
     pub control: ActorOwn<Control>,
-    /// Who is there.
+    /// The part that tracks nodes and upstreams.
     pub members: ActorOwn<Members>,
-    /// The idempotency keys.
+    /// The part that claims idempotency keys.
     pub claims: ClaimsHandle,
     /// The callers' interface.
     pub callers: Callers,
     /// The metrics.
     pub metrics: Arc<Metrics>,
-    /// The counts of node-to-node traffic.
+    /// The counters of node-to-node traffic.
     pub peer_stats: Arc<PeerStats>,
     /// The live nodes.
     pub live_nodes: LiveNodes,
     /// I/O threads for streams from engines.
     pub streams: Bridge,
-    /// I/O threads for calls to plain services, apart from the short calls, which a service that
-    /// answers nobody would hold up with cancels and polls among them.
+    /// I/O threads for calls to plain services. They are separate from those for short calls:
+    /// otherwise a service that doesn't answer would delay all short calls, including cancels and
+    /// polls.
     pub services: Bridge,
-    /// I/O threads for short calls.
+    /// I/O threads for short calls to upstreams, peers and the platform.
     pub calls: Bridge,
 }
 
@@ -69,12 +71,12 @@
     stopping: bool,
     knows_upstream: bool,
     flushing: bool,
-    /// The bytes of node-to-node traffic that the metrics have already.
+    /// The bytes of node-to-node traffic that the metrics already include.
     peer_bytes: Bytes,
 }
 
 impl Hub {
-    /// Spawns the hub and begins to poll engines.
+    /// Spawns the hub and starts polling engines.
     pub fn spawn(core: &mut Core, parts: HubParts) -> ActorOwn<Hub> {
         actor!(core, Hub::init(parts), ret_nop!())
     }
@@ -93,16 +95,16 @@
         Some(hub)
     }
 
-    /// Tells the balancer whether to send callers here.
+    /// Updates the readiness that the callers' interface reports to the balancer.
     ///
-    /// Guards against a node started while the platform is down: peers give it the configuration
-    /// but nobody the upstreams, and all calls that the balancer sent it would be refused while
-    /// other nodes could serve them. It is ready once it knew one upstream.
-    fn tell_ready(&self) {
+    /// Guards against a node started while the platform is down: it receives the configuration from
+    /// peers but the upstreams from nobody, so it would refuse all calls from the balancer while
+    /// other nodes could serve them. A node becomes ready once it has known an upstream.
+    fn update_ready(&self) {
         self.parts.callers.set_ready(self.ready().is_ok());
     }
 
-    /// What this node says of itself now.
+    /// Returns this node's current description.
     pub(crate) fn card(&self) -> NodeCard {
         self.parts.card.clone()
     }
--- a/crates/node/src/hub/seed.rs
+++ b/crates/node/src/hub/seed.rs
@@ -1,14 +1,17 @@
-//! Publishing the configuration file given in settings, where the log holds none yet.
+//! Publishing of the configuration file that the settings name (the *seed*), if the log holds no
+//! configuration yet.
 //!
-//! Invariants: the file is published as version 1 only, so it never overrides what operators
-//! published; of several nodes with such a file one wins and the others are told of the conflict.
+//! Invariants: the file is published only as version 1, so it never overrides a configuration that
+//! operators published. If several nodes publish a file, one succeeds and the others receive a
+//! conflict.
 
 use super::Hub;
 use bluebell_base::prelude::*;
 use bluebell_control::Published;
 use stakker::{CX, call, fwd_to, ret_some_to};
 
-/// The pause before a try, in which a configuration on the log or at a peer comes into force.
+/// The pause before each try to publish, in milliseconds. A configuration that is in the log or
+/// that a peer has comes into force in this time.
 const PAUSE_MS: SpanMs = SpanMs(1_500);
 
 impl Hub {
--- a/crates/node/src/launch/mod.rs
+++ b/crates/node/src/launch/mod.rs
@@ -1,7 +1,7 @@
-//! Starting a node on a thread of its own, and the handle to it.
+//! Start of a node on its own thread, and the handle to the running node.
 //!
-//! Invariants: a node is started whole or not at all; an address that can't be bound is an error
-//! before any caller is served.
+//! Invariants: a node starts with all its parts or not at all. An address that can't be bound is an
+//! error before any caller is served.
 
 mod wiring;
 
@@ -15,21 +15,21 @@
 use std::thread::{self, JoinHandle};
 use wiring::Running;
 
-/// Why a node could not start.
+/// The error of a node that couldn't start.
 #[derive(Debug, thiserror::Error)]
 pub enum LaunchError {
-    /// A part could not be opened.
+    /// A part couldn't be opened.
     #[error("{part}: {reason}")]
     Part {
-        /// The part.
+        /// The name of the part.
         part: &'static str,
-        /// Why.
+        /// The part's error.
         reason: Arc<str>,
     },
-    /// The node's thread could not be started.
-    #[error("no thread for the node: {0}")]
+    /// The node's thread couldn't be started.
+    #[error("the node's thread can't be started: {0}")]
     Thread(#[from] io::Error),
-    /// The node ended while it started.
+    /// The node's thread ended before the node had started.
     #[error("the node ended while it started")]
     Ended,
 }
@@ -41,18 +41,18 @@
     }
 }
 
-/// Where a running node listens.
+/// The addresses on which a running node listens.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeAddresses {
-    /// The callers' interface.
+    /// The address of the callers' interface.
     pub callers: Address,
-    /// The administration API.
+    /// The address of the administration API.
     pub admin: Address,
-    /// The peer interface.
+    /// The address of the peer interface.
     pub peers: Address,
 }
 
-/// A running node.
+/// A handle to a running node.
 #[derive(Debug)]
 pub struct Node {
     addresses: NodeAddresses,
@@ -60,24 +60,25 @@
     thread: JoinHandle<()>,
 }
 
-/// Tells a running node to stop; usable from any thread, such as a signal handler's.
+/// A handle that stops a running node. It can be used from any thread, such as that of a signal
+/// handler.
 #[derive(Clone, Debug)]
 pub struct NodeStop {
-    link: InboxSender,
+    inbox: InboxSender,
 }
 
 impl NodeStop {
-    /// Begins the planned stop.
+    /// Begins the node's planned stop.
     pub fn drain(&self) {
-        self.link.send(|stakker| wiring::drain(stakker));
+        self.inbox.send(|stakker| wiring::drain(stakker));
     }
 }
 
 impl Node {
-    /// Starts a node with its settings.
+    /// Starts a node with its settings and waits until it listens.
     ///
     /// # Errors
-    /// The part that could not be opened, and why.
+    /// Returns an error if a part couldn't be opened or the node's thread couldn't be started.
     pub fn spawn(settings: NodeSettings) -> Result<Self, LaunchError> {
         let (started, start) = bounded(1);
         let name = format!("node-{}", settings.name);
@@ -92,17 +93,17 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the addresses on which the node listens.
     pub fn addresses(&self) -> &NodeAddresses {
         &self.addresses
     }
 
-    /// A handle that tells it to stop.
+    /// Returns a handle that stops the node.
     pub fn stopper(&self) -> NodeStop {
         self.stop.clone()
     }
 
-    /// Waits until the node has ended by itself.
+    /// Waits until the node's thread has ended.
     pub fn join(self) {
         if self.thread.join().is_err() {
             log::error!("the node's thread panicked");
@@ -117,13 +118,13 @@
     let running = match Running::open(&mut stakker, settings) {
         Ok(running) => running,
         Err(error) => {
-            // The receiver waits for exactly this message.
+            // The receiver waits for this message, so sending it can't fail.
             let _ = started.send(Err(error));
             return;
         }
     };
     let stop = NodeStop {
-        link: running.link(),
+        inbox: running.inbox_sender(),
     };
     let _ = started.send(Ok((running.addresses().clone(), stop)));
     running.run(&mut stakker);
--- a/crates/node/src/launch/wiring.rs
+++ b/crates/node/src/launch/wiring.rs
@@ -1,4 +1,4 @@
-//! Opening every part of a node and joining their ends.
+//! Opens every part of a node and connects the parts.
 
 use super::{LaunchError, NodeAddresses};
 use crate::hub::{Hub, HubParts};
@@ -25,11 +25,11 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// I/O threads for short calls to upstreams and the platform.
+/// The number of I/O threads for short calls to upstreams, peers and the platform.
 const CALL_THREADS: usize = 32;
 
 thread_local! {
-    /// The hub of the node that runs on this thread, for the stop that comes from other threads.
+    /// The hub of the node that runs on this thread. Stops requested on other threads use it.
     static HUB: RefCell<Option<Rc<ActorOwn<Hub>>>> = const { RefCell::new(None) };
 }
 
@@ -50,7 +50,7 @@
     peer_server: PeerServer,
 }
 
-/// What later parts need of earlier ones.
+/// The settings, timers, I/O threads and identity that the parts of a node share.
 struct Base {
     settings: Rc<NodeSettings>,
     timers: Timers,
@@ -64,14 +64,14 @@
 }
 
 /// The ports to the platform and to other nodes.
-struct Outside {
+struct ExternalPorts {
     client: PlatformClient,
     log: Rc<dyn LogPort>,
     peers: Rc<dyn PeerPort>,
 }
 
 impl Running {
-    /// Opens all parts.
+    /// Opens all parts of a node.
     pub(super) fn open(stakker: &mut Stakker, settings: NodeSettings) -> Result<Self, LaunchError> {
         let inbox = Inbox::open();
         let base = Base::open(&inbox, stakker, settings)?;
@@ -81,11 +81,11 @@
         let peer_server = base.bind_peers(&runtime, &late)?;
         let card = base.card(peer_server.address());
 
-        let outside = base.open_outside(&runtime);
-        let control = base.spawn_control(stakker, &card, &outside, &late)?;
-        let claims = base.spawn_claims(stakker, &card, &outside)?;
-        let members = base.spawn_members(stakker, &card, &outside, &late);
-        let requests = base.spawn_requests(stakker, &claims, &outside, &late);
+        let external = base.open_external(&runtime);
+        let control = base.spawn_control(stakker, &card, &external, &late)?;
+        let claims = base.spawn_claims(stakker, &card, &external)?;
+        let members = base.spawn_members(stakker, &card, &external, &late);
+        let requests = base.spawn_requests(stakker, &claims, &external, &late);
         let callers = base.bind_callers(&requests)?;
         let admin = base.bind_admin(&late)?;
 
@@ -119,11 +119,11 @@
         &self.addresses
     }
 
-    pub(super) fn link(&self) -> InboxSender {
+    pub(super) fn inbox_sender(&self) -> InboxSender {
         self.inbox.link()
     }
 
-    /// Runs until the node stops by itself.
+    /// Runs the node until its planned stop has ended.
     pub(super) fn run(self, stakker: &mut Stakker) {
         self.inbox.run(stakker);
         self.admin.stop();
@@ -140,14 +140,15 @@
     }
 }
 
-/// Spawns the hub and makes it known to the parts that call it and to the stop.
+/// Spawns the hub and registers it with the parts that call it and with [`drain`].
 fn spawn_hub(core: &mut Core, parts: HubParts, late: &LateHub) {
     let hub = Rc::new(Hub::spawn(core, parts));
     late.set(Rc::clone(&hub));
     HUB.set(Some(hub));
 }
 
-/// The hub's place in `Fwd`s that are made before the hub, since it needs the parts they go to.
+/// A slot for the hub in `Fwd`s that are created before the hub, which itself needs the parts that
+/// receive them.
 #[derive(Clone, Default)]
 struct LateHub {
     hub: Rc<RefCell<Option<Rc<ActorOwn<Hub>>>>>,
@@ -158,8 +159,8 @@
         *self.hub.borrow_mut() = Some(hub);
     }
 
-    /// A `Fwd` that calls `to` with the hub; what comes before there is a hub is dropped, and no
-    /// part runs before that, because the actors' first turn comes later.
+    /// Returns a `Fwd` that calls `to` with the hub. Values that come before the hub is set are
+    /// dropped; there are none, because no actor runs before all parts are open.
     fn fwd<T: 'static>(&self, to: impl Fn(&ActorOwn<Hub>, T) + 'static) -> Fwd<T> {
         let hub = Rc::clone(&self.hub);
         Fwd::new(move |value| {
@@ -217,7 +218,7 @@
         }
     }
 
-    fn open_outside(&self, runtime: &PeerRuntime) -> Outside {
+    fn open_external(&self, runtime: &PeerRuntime) -> ExternalPorts {
         let credential = self.settings.platform_credential.as_ref();
         let client = PlatformClient::open(
             self.calls.clone(),
@@ -225,7 +226,7 @@
             credential.map(|secret| secret.expose().clone()),
             CallTimeouts::default(),
         );
-        Outside {
+        ExternalPorts {
             log: HttpLog::open(&client),
             peers: JsonRpcPeers::open(runtime),
             client,
@@ -236,7 +237,7 @@
         &self,
         core: &mut Core,
         card: &NodeCard,
-        outside: &Outside,
+        external: &ExternalPorts,
         late: &LateHub,
     ) -> Result<ActorOwn<Control>, LaunchError> {
         let identity = NodeIdentity {
@@ -244,9 +245,9 @@
             address: card.address.clone(),
         };
         let ports = ControlPorts {
-            log: Rc::clone(&outside.log),
-            peers: Rc::clone(&outside.peers),
-            weights: HttpWeights::open(&outside.client),
+            log: Rc::clone(&external.log),
+            peers: Rc::clone(&external.peers),
+            weights: HttpWeights::open(&external.client),
         };
         let settings = ControlSettings {
             shards: self.settings.shards,
@@ -275,7 +276,7 @@
         &self,
         core: &mut Core,
         card: &NodeCard,
-        outside: &Outside,
+        external: &ExternalPorts,
     ) -> Result<ClaimsHandle, LaunchError> {
         let settings = ClaimSettings {
             shards: self.settings.shards,
@@ -287,8 +288,8 @@
         let parts = ClaimsParts {
             settings,
             timers: self.timers.clone(),
-            log: Rc::clone(&outside.log),
-            peers: Rc::clone(&outside.peers),
+            log: Rc::clone(&external.log),
+            peers: Rc::clone(&external.peers),
             incarnation: card.incarnation,
             seed: self.seed,
         };
@@ -299,13 +300,13 @@
         &self,
         core: &mut Core,
         card: &NodeCard,
-        outside: &Outside,
+        external: &ExternalPorts,
         late: &LateHub,
     ) -> ActorOwn<Members> {
         let ports = MembersPorts {
-            log: Rc::clone(&outside.log),
-            peers: Rc::clone(&outside.peers),
-            list: HttpVmList::open(&outside.client),
+            log: Rc::clone(&external.log),
+            peers: Rc::clone(&external.peers),
+            list: HttpVmList::open(&external.client),
         };
         let seeds = self.settings.peer_seeds.as_ref();
         let settings = MembersSettings {
@@ -330,7 +331,7 @@
         &self,
         core: &mut Core,
         claims: &ClaimsHandle,
-        outside: &Outside,
+        external: &ExternalPorts,
         late: &LateHub,
     ) -> RequestsHandle {
         let refused = late.fwd(|hub, name| stakker::call!([hub], on_upstream_refused(name)));
@@ -350,7 +351,7 @@
             claims: Rc::new(claims.clone()),
             policy,
             observer: NodeObserver::open(Arc::clone(&self.metrics), refused),
-            lookup: PeerLookup::open(Rc::clone(&outside.peers), Rc::clone(&self.live_nodes)),
+            lookup: PeerLookup::open(Rc::clone(&external.peers), Rc::clone(&self.live_nodes)),
             seed: self.seed,
         };
         Requests::spawn(core, settings, ports)
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,10 +1,10 @@
-//! The node: opens every part with its settings, wires them together and runs them on one thread.
+//! The node: opens every part with its settings, connects the parts and runs them on one thread.
 //!
-//! Terms: the *hub* is the actor through which the parts' events reach one another; a *running
-//! node* is the handle to the thread that runs it.
+//! Terms: the *hub* is the actor that passes events between the parts; a *running node* is the
+//! handle to the thread that runs the node.
 //!
-//! Invariants: all mutable state belongs to actors of one thread; a node that stops by request
-//! first finishes what it took and hands its duties over.
+//! Invariants: all mutable state belongs to actors of one thread; a node that is asked to stop
+//! first finishes the requests that it accepted and hands its duties over.
 
 pub mod hub;
 pub mod launch;
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,7 +1,9 @@
-//! The node program: reads its settings, opens the logs, runs the node until it is told to stop.
+//! The node program: reads its settings, opens the log and runs the node until a signal or an
+//! operator stops it.
 //!
-//! Once it listens it prints one line of JSON with its addresses to standard output, which is
-//! where a script learns the ports that the system picked; all else goes to standard error.
+//! Once it listens, the program prints one line of JSON with its addresses to standard output, so
+//! that scripts can read the ports that the system picked. All other output of a running node goes
+//! to standard error.
 
 mod front;
 
@@ -12,10 +14,10 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 
-/// The exit code for settings that can't be used.
+/// The exit code for invalid settings.
 const EXIT_SETTINGS: u8 = 2;
 
-/// The first argument that makes the node serve on the users' platform.
+/// The first argument that starts the node of the users' platform.
 const FRONT: &str = "front";
 
 fn main() -> ExitCode {
@@ -73,13 +75,15 @@
     print_addresses(addresses);
     let stopper = node.stopper();
     if let Err(error) = ctrlc::set_handler(move || stopper.drain()) {
-        log::warn!("signals won't stop this node gracefully: {error}");
+        log::warn!(
+            "can't set the signal handler, so signals won't stop this node gracefully: {error}"
+        );
     }
     node.join();
     ExitCode::SUCCESS
 }
 
-/// Prints the addresses; a node that nobody reads from runs all the same.
+/// Prints the addresses. The node also runs if nobody reads its standard output.
 fn print_addresses(addresses: &NodeAddresses) {
     let line = serde_json::to_string(addresses).expect("addresses are strings");
     if let Err(error) = writeln!(stdout(), "{line}") {
--- a/crates/node/src/ports/lookup.rs
+++ b/crates/node/src/ports/lookup.rs
@@ -1,6 +1,6 @@
-//! Looking a request up at the node that admitted it.
+//! Lookup of a request at the node that admitted it.
 //!
-//! Terms: the *live nodes* are the nodes' cards as membership last told them.
+//! Terms: the *live nodes* are the nodes' cards as membership last reported them.
 
 use bluebell_base::prelude::*;
 use bluebell_peers::{NodeCard, PeerAnswer, PeerCall, PeerPort, RequestReport};
@@ -9,17 +9,17 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The live nodes, shared between the hub, which writes it, and lookups.
+/// The live nodes. The hub writes the list; lookups and the administration API read it.
 pub type LiveNodes = Rc<RefCell<Vec<NodeCard>>>;
 
-/// Finds the node by the incarnation in the request's id and asks it.
+/// A lookup that calls the node whose incarnation is in the request's id.
 pub struct PeerLookup {
     peers: Rc<dyn PeerPort>,
     live_nodes: LiveNodes,
 }
 
 impl PeerLookup {
-    /// Opens the lookup over the live nodes.
+    /// Opens a lookup among the live nodes.
     pub fn open(peers: Rc<dyn PeerPort>, live_nodes: LiveNodes) -> Rc<dyn RequestLookup> {
         Rc::new(Self { peers, live_nodes })
     }
--- a/crates/node/src/ports/mod.rs
+++ b/crates/node/src/ports/mod.rs
@@ -1,4 +1,4 @@
-//! Adapters: the ports that parts ask for, made from other parts.
+//! Adapters that implement the ports of some parts with other parts.
 
 pub mod lookup;
 pub mod observer;
--- a/crates/node/src/ports/observer.rs
+++ b/crates/node/src/ports/observer.rs
@@ -1,18 +1,19 @@
-//! What happens to requests, written into the metrics and told to the hub.
+//! The observer of requests, which records metrics and reports refusals by upstreams to the hub.
 
 use bluebell_base::prelude::*;
 use bluebell_requests::{LengthBand, RefusedBy, RequestObserver};
 use bluebell_telemetry::Metrics;
 use stakker::Fwd;
 
-/// Writes metrics; hands on the upstreams that did not take work, which may be leaving.
+/// Records metrics and forwards the names of upstreams that refused work, since they may be leaving.
 pub struct NodeObserver {
     metrics: Arc<Metrics>,
     refused: Fwd<UpstreamName>,
 }
 
 impl NodeObserver {
-    /// Opens the observer; `refused` gets the upstreams that did not take work.
+    /// Opens the observer. `refused` receives the names of upstreams that refused work as
+    /// unavailable.
     pub fn open(metrics: Arc<Metrics>, refused: Fwd<UpstreamName>) -> Box<dyn RequestObserver> {
         Box::new(Self { metrics, refused })
     }
@@ -69,7 +70,7 @@
 
     fn upstream_refused(&mut self, upstream: &UpstreamName, error: &Error) {
         self.metrics.upstream_refused();
-        // Only "unavailable" may mean that it leaves; "overloaded" passes by itself.
+        // Only "unavailable" can mean that the upstream is leaving; "overloaded" is temporary.
         if error.kind == ErrorKind::Unavailable {
             self.refused.fwd(upstream.clone());
         }
--- a/crates/node/tests/front.rs
+++ b/crates/node/tests/front.rs
@@ -1,4 +1,4 @@
-//! The program as the platform starts it.
+//! Tests of the program as the platform starts it.
 
 use std::process::{Command, Output};
 
@@ -11,10 +11,10 @@
         .expect("it is built")
 }
 
-/// A node that was given bad settings ends with the code for that, and says all that is wrong, instead
-/// of starting and failing later.
+/// Guards against a node that starts with invalid settings and fails later. It must exit with the
+/// code for invalid settings and print all faults.
 #[test]
-fn bad_settings_end_it_with_all_their_faults() {
+fn invalid_settings_exit_with_all_faults() {
     let path = std::env::temp_dir().join(format!("bluebell-front-{}", std::process::id()));
     let text = r#"{"nodeName":"n","ip":"127.0.0.1","zone":"a",
         "listen":{"frontend":"127.0.0.1:0","ready":"127.0.0.1:0"},"internalPortRange":[9,3],
@@ -23,16 +23,16 @@
     let output = front(&["--settings", path.to_str().expect("a path")]);
     std::fs::remove_file(&path).expect("it is there");
     assert_eq!(output.status.code(), Some(2));
-    let told = String::from_utf8(output.stderr).expect("text");
+    let printed = String::from_utf8(output.stderr).expect("text");
     assert!(
-        told.contains("graceS") && told.contains("internalPortRange"),
-        "{told}"
+        printed.contains("graceS") && printed.contains("internalPortRange"),
+        "{printed}"
     );
 }
 
-/// Without a settings file, or with arguments that aren't known, it says so.
+/// A missing settings file and unknown arguments end the program with the code for invalid settings.
 #[test]
-fn missing_settings_and_unknown_arguments_are_told() {
+fn missing_settings_and_unknown_arguments_are_reported() {
     let none = front(&[]);
     assert_eq!(none.status.code(), Some(2));
     assert!(String::from_utf8_lossy(&none.stderr).contains("settings file"));
--- a/crates/node/tests/sockets/leaving.rs
+++ b/crates/node/tests/sockets/leaving.rs
@@ -1,20 +1,20 @@
-//! Engines that leave and engines that can't be reached, before the platform's list says so.
+//! Tests of engines that are leaving or unreachable while the platform's list still has them live.
 
 use crate::support::{Fleet, wait_for};
 use bluebell_stand_ins::faults::FaultSwitches;
 use serde_json::json;
 
-/// A draft is refused by an engine whose VM is about to be replaced while the list still calls it
-/// live. The draft must be written elsewhere, and both nodes must send that engine nothing more.
+/// An engine whose VM is about to be replaced refuses a request while the list still has it live.
+/// Another engine must answer the request, and both nodes must send the leaving engine nothing more.
 #[test]
-fn an_engine_that_says_it_leaves_gets_no_new_work_from_any_node() {
+fn an_engine_that_reports_leaving_gets_no_new_work_from_any_node() {
     let fleet = Fleet::start(2, 2);
     fleet.engines[0].set_faults(FaultSwitches {
         leaving: true,
         ..FaultSwitches::default()
     });
     for index in 0..2 {
-        wait_for("the node to hear that the engine leaves", || {
+        wait_for("the node to learn that the engine is leaving", || {
             let state = fleet.state(index);
             state["engines"][0]["leaving"] == true || state["engines"][1]["leaving"] == true
         });
@@ -31,11 +31,11 @@
     fleet.stop();
 }
 
-/// An engine's process ends and its VM refuses connections until it is started again. It was never
-/// leaving: no node may count it as that and tell its peers, or the fleet would shut it out for a
-/// minute after it is back, and a node with a broken network would shut out all engines.
+/// An engine's process ends, and its VM refuses connections until the engine is started again. No
+/// node may count it as leaving and report that to its peers. Otherwise the fleet would send it
+/// nothing for a minute after its return, and a node with a broken network would exclude all engines.
 #[test]
-fn an_engine_that_refuses_connections_is_not_said_to_leave() {
+fn an_engine_that_refuses_connections_is_not_reported_as_leaving() {
     let mut fleet = Fleet::start(1, 1);
     fleet.engines.clear();
     let body = json!({
--- a/crates/node/tests/sockets/main.rs
+++ b/crates/node/tests/sockets/main.rs
@@ -1,4 +1,4 @@
-//! Nodes over real sockets, before stand-ins in the same process.
+//! Tests of nodes over real sockets, with stand-ins in the same process.
 
 mod leaving;
 mod path;
--- a/crates/node/tests/sockets/path.rs
+++ b/crates/node/tests/sockets/path.rs
@@ -1,10 +1,10 @@
-//! The whole path over real sockets: caller, node, platform, engine, service.
+//! Tests of the whole path over real sockets: caller, node, platform, engine and service.
 
 use crate::support::{Fleet, wait_for};
 use serde_json::json;
 
 #[test]
-fn work_is_answered_through_every_node() {
+fn requests_are_answered_through_every_node() {
     let fleet = Fleet::start(3, 2);
     for index in 0..3 {
         let body = json!({
@@ -32,10 +32,11 @@
     fleet.stop();
 }
 
-/// A family's notice is sent once more through another node because the first answer was slow to
-/// come: the second call must be told that the first holds the key, and no engine runs it twice.
+/// Guards against a request that runs twice because its caller, for whom the first answer came too
+/// slowly, sends it again through another node. The second call must be answered that the first
+/// holds the key and ran, and no engine may run the request again.
 #[test]
-fn a_key_runs_once_through_whichever_node_it_comes() {
+fn a_key_runs_once_through_any_node() {
     let fleet = Fleet::start(3, 2);
     let body = json!({
         "model": "pond-1", "class": "notice", "prompt": "the one notice", "max_tokens": 8
@@ -61,32 +62,32 @@
     fleet.stop();
 }
 
-/// An operator asks a node for its upstreams and reads `null`, whatever serves: the administration
-/// API takes them out of the node's word on the fleet, which had the nodes only.
+/// Guards against `null` in place of the upstreams: the administration API takes them from the
+/// node's view of the fleet, which contained only the nodes.
 #[test]
-fn operators_are_told_of_the_upstreams() {
+fn the_administration_api_returns_the_upstreams() {
     let fleet = Fleet::start(1, 2);
     let upstreams = fleet.admin(0, "/admin/upstreams");
     let upstreams = upstreams.as_array().expect("a list of upstreams");
-    let mut told: Vec<_> = upstreams
+    let mut returned: Vec<_> = upstreams
         .iter()
         .map(|entry| (entry["name"].as_str(), entry["role"].as_str()))
         .collect();
-    told.sort_unstable();
+    returned.sort_unstable();
     let wanted = [
         (Some("board-0"), Some("service")),
         (Some("engine-0"), Some("engine")),
         (Some("engine-1"), Some("engine")),
     ];
-    assert_eq!(told, wanted);
+    assert_eq!(returned, wanted);
     assert!(upstreams.iter().all(|entry| entry["state"] == "live"));
     fleet.stop();
 }
 
-/// An operator watches what nodes tell one another against the control budget and finds no such
-/// metric: the peer interface counted its bytes, but nobody handed the counts to the metrics.
+/// Guards against a missing metric of the traffic between nodes, which operators compare with the
+/// control budget: the peer interface counts its bytes, and the node must add them to the metrics.
 #[test]
-fn traffic_between_nodes_is_a_metric() {
+fn metrics_include_traffic_between_nodes() {
     let fleet = Fleet::start(2, 1);
     let bytes = || fleet.metric(0, r#"bluebell_control_bytes_total{peer="node"}"#);
     wait_for("probes to be counted", || bytes() > 0.0);
@@ -95,10 +96,10 @@
     fleet.stop();
 }
 
-/// Nodes that start while the platform's list names none of them stand alone, though their
-/// settings name a node that could tell them of the others.
+/// Guards against nodes that don't find each other while the platform's list names none of them,
+/// although their settings name a node that knows the others.
 #[test]
-fn nodes_that_no_list_names_meet_by_seeds() {
+fn unlisted_nodes_find_each_other_through_seeds() {
     let mut fleet = Fleet::start(0, 1);
     fleet.start_unlisted(&[]);
     let seed = fleet.nodes[0].addresses().peers.clone();
--- a/crates/node/tests/sockets/ready.rs
+++ b/crates/node/tests/sockets/ready.rs
@@ -1,10 +1,10 @@
-//! When a node says that it is ready.
+//! Tests of a node's readiness.
 
 use crate::support::Fleet;
 
-/// A node starts while no engine is known, such as with the platform's list down. A peer gave it
-/// the configuration, so callers' work would be taken and refused for want of an engine; the
-/// balancer must not send any here.
+/// Guards against a node that is ready before it knows an upstream, for example because it started
+/// while the platform's list was down. It has the configuration from a peer, so the balancer would
+/// send it requests, and it would refuse them because it knows no engine.
 #[test]
 fn a_node_that_knows_no_upstream_is_not_ready() {
     let fleet = Fleet::start_unready();
--- a/crates/node/tests/sockets/streams.rs
+++ b/crates/node/tests/sockets/streams.rs
@@ -1,19 +1,20 @@
-//! Streams over real sockets: read on through another node, and finished by a node that stops.
+//! Tests of streams over real sockets: resumed through another node, and finished by a node that
+//! stops.
 
 use crate::support::{Fleet, KEY};
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader};
 
-/// Tokens asked for; long enough to still run when the test acts.
+/// The requested number of tokens. The answer must still be running when the test acts on it.
 const ANSWER_TOKENS: u64 = 400;
 
-/// A stream being read.
+/// The reading side of a stream.
 struct Stream {
     request: String,
     lines: std::io::Lines<BufReader<ureq::BodyReader<'static>>>,
 }
 
-/// One event with text, and the cursor behind it.
+/// The text of one event, and the cursor after it.
 struct Piece {
     cursor: String,
     text: String,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// The next piece of text; none behind the last one.
+    /// Returns the next piece of text, or `None` after the last one.
     fn next(&mut self) -> Option<Piece> {
         let mut cursor = String::new();
         loop {
@@ -79,10 +80,10 @@
     }
 }
 
-/// A family's line drops in the middle of a text; the caller's program comes back through the
-/// balancer, which leads it to another node, and shows what it has and the rest as one text.
+/// A caller's connection breaks in the middle of a stream, and the balancer sends its next call to
+/// another node. The text received before and the resumed text must form the whole answer.
 #[test]
-fn a_broken_stream_is_read_on_through_another_node() {
+fn a_broken_stream_is_resumed_through_another_node() {
     let fleet = Fleet::start(2, 2);
     let whole = Stream::open(&fleet, 0, "short-draft").rest();
     let mut first = Stream::open(&fleet, 0, "short-draft");
@@ -102,10 +103,10 @@
     fleet.stop();
 }
 
-/// A node is replaced while a text is being written: its process must not end before the text
-/// has, and whoever calls meanwhile is told at once to go elsewhere.
+/// A node is replaced while it streams an answer. Its process must not end before the stream, and
+/// new calls must be refused at once as not run, so that callers can use another node.
 #[test]
-fn a_planned_stop_finishes_what_runs_and_takes_nothing_new() {
+fn a_planned_stop_finishes_running_requests_and_accepts_no_new_ones() {
     let fleet = Fleet::start(1, 1);
     let mut stream = Stream::open(&fleet, 0, "notice");
     let first = stream.next().expect("more to come");
@@ -115,7 +116,7 @@
         ready.is_ok_and(|answer| answer.status() == 503)
     });
     let body = json!({ "model": "pond-1", "class": "notice", "prompt": "x", "max_tokens": 4 });
-    crate::support::wait_for("the balancer's notice to pass", || {
+    crate::support::wait_for("the drain notice to elapse", || {
         let answer = fleet.post(0, "/v1/completions", None, &body);
         let refused = answer.status == 503 && answer.json["error"]["verdict"] == "not_run";
         assert!(refused || answer.status == 200, "{}", answer.text);
--- a/crates/node/tests/sockets/support/mod.rs
+++ b/crates/node/tests/sockets/support/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet on stand-ins in one process: real sockets on ports the system picks.
+//! A fleet with stand-ins in one process, on real sockets with ports that the system picks.
 
 use bluebell_base::prelude::*;
 use bluebell_node::Node;
@@ -11,13 +11,13 @@
 use bluebell_upstreams::engine::LoadedModel;
 use std::time::{Duration, Instant};
 
-/// Generous bound on any wait in these tests.
+/// The time limit of any wait in these tests.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
-/// The caller's key of the example configuration's first account.
+/// The caller's key of the first account in the test configuration.
 pub const KEY: &str = "demo-key-1";
 
-/// A fleet and what surrounds it.
+/// Nodes, the stand-ins that they use and an HTTP client.
 pub struct Fleet {
     pub nodes: Vec<Node>,
     pub platform: PlatformServer,
@@ -40,7 +40,7 @@
         fleet
     }
 
-    /// Starts one node whose platform lists no upstream, and waits for nothing.
+    /// Starts one node whose platform lists no upstream, without waiting for its readiness.
     pub fn start_unready() -> Self {
         let mut fleet = Self::surroundings(0);
         fleet.start_node(0);
@@ -104,7 +104,7 @@
         self.nodes.push(node);
     }
 
-    /// Starts a node that no list of VMs names, with seed addresses.
+    /// Starts a node with seed addresses that the platform's list doesn't name.
     pub fn start_unlisted(&mut self, seeds: &[&Address]) {
         let seeds: Vec<&str> = seeds.iter().map(|seed| seed.as_str()).collect();
         let mut settings = settings(self.nodes.len(), &self.platform);
@@ -113,7 +113,7 @@
         self.nodes.push(Node::spawn(settings).expect("node starts"));
     }
 
-    /// Waits until the node takes calls and knows an engine.
+    /// Waits until the node is ready and knows all engines with their models.
     pub fn wait_ready(&self, index: usize) {
         let url = self.url(index, "/readyz");
         wait_for("the node to be ready", || {
@@ -130,12 +130,12 @@
         engines.len() == self.engines.len() && engines.iter().all(known)
     }
 
-    /// A node's state dump.
+    /// Returns a node's state dump.
     pub fn state(&self, index: usize) -> serde_json::Value {
         self.admin(index, "/admin/state")
     }
 
-    /// What a node's administration API answers.
+    /// Returns the JSON answer of a node's administration API.
     pub fn admin(&self, index: usize, path: &str) -> serde_json::Value {
         let admin = &self.nodes[index].addresses().admin;
         let call = self.agent.get(format!("http://{admin}{path}"));
@@ -144,7 +144,7 @@
         answer.body_mut().read_json().expect("JSON")
     }
 
-    /// The sum of a counter's series in a node's metrics.
+    /// Returns the sum of all series of a node's metrics whose line begins with `name`.
     pub fn metric(&self, index: usize, name: &str) -> f64 {
         let admin = &self.nodes[index].addresses().admin;
         let call = self.agent.get(format!("http://{admin}/metrics"));
@@ -156,12 +156,12 @@
         values.sum()
     }
 
-    /// A URL of a node's callers' interface.
+    /// Returns a URL of a node's callers' interface.
     pub fn url(&self, index: usize, path: &str) -> String {
         format!("http://{}{path}", self.nodes[index].addresses().callers)
     }
 
-    /// Posts JSON as the first account's caller; status and JSON body.
+    /// Posts JSON as the first account's caller and returns the answer.
     pub fn post(
         &self,
         index: usize,
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Posts a keyed completion as a caller that comes back while the key can't be claimed yet.
+    /// Posts a completion with an idempotency key, and again while the key can't be claimed yet.
     pub fn post_until_claimed(&self, index: usize, key: &str, body: &serde_json::Value) -> Answer {
         let mut last = None;
         wait_for("the shard's owner to serve", || {
@@ -198,7 +198,7 @@
         last.expect("an answer came")
     }
 
-    /// How often work was begun on all engines.
+    /// Returns the number of requests that all engines have begun.
     pub fn runs(&self) -> u64 {
         let begun = self
             .engines
@@ -207,7 +207,7 @@
         begun.sum()
     }
 
-    /// Stops all nodes and waits for their end.
+    /// Stops all nodes and waits until they have ended.
     pub fn stop(self) {
         for node in &self.nodes {
             node.stopper().drain();
@@ -226,7 +226,7 @@
     pub text: String,
 }
 
-/// Waits for a condition that real sockets bring about.
+/// Waits until `done` returns true. Panics with `what` after [`PATIENCE`].
 pub fn wait_for(what: &str, mut done: impl FnMut() -> bool) {
     let end = Instant::now() + PATIENCE;
     while !done() {
