--- a/crates/claims/examples/claim_cost.rs
+++ b/crates/claims/examples/claim_cost.rs
@@ -1,5 +1,5 @@
-//! Measures what claims cost: processor time, log appends by load, added latency, bytes and
-//! memory. Everything but processor time is under virtual time and repeats exactly.
+//! Measures the costs of claims: processor time, log appends by load, added latency, bytes and
+//! memory. All values except processor time are measured in virtual time and are reproducible.
 //!
 //! `cargo run --release -p bluebell-claims --example claim_cost`
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// One shard's batches, each with claims and the settlements of the batch before.
+/// Returns the batches of one shard, each with claims and the settlements of the previous batch.
 fn batches(count: usize, claims: usize) -> Vec<LogRecord> {
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
     let mut before: Vec<ClaimCall> = Vec::new();
@@ -104,7 +104,7 @@
     );
 }
 
-/// An owner and a node that claims, on a fake log and net.
+/// An owner and a node that claims, on a fake log and a fake network.
 struct Bench {
     stakker: Stakker,
     origin: Instant,
@@ -188,7 +188,7 @@
         self.stakker.run(self.now, false);
     }
 
-    /// Claims, and settles as run when granted.
+    /// Claims a key, and settles it as run if it is granted.
     fn claim(&mut self, at_ms: f64, call: ClaimCall) {
         let (taken, timers) = (Rc::clone(&self.taken_ms), self.timers.clone());
         let (deferrer, port) = (self.stakker.deferrer(), self.caller.clone());
@@ -271,7 +271,7 @@
     }
 }
 
-/// 1,400 claims a second over more or fewer shards, with 160 appends a second in all.
+/// Measures 1,400 claims/s over different numbers of shards, with 160 appends/s in total.
 fn shards() {
     println!(
         "\nOne of so many shards at 1,400 claims/s in all, interval set for 160 appends/s in all"
@@ -283,8 +283,8 @@
     }
 }
 
-/// What the log makes of one append for each claim.
-fn straight() {
+/// Measures the log with one append per claim.
+fn one_append_per_claim() {
     println!("\nEach claim an append of its own; the log takes 300 appends/s");
     println!("claims/s  taken/s  refused share  B/s read by every node that must know all claims");
     for rate in [50.0, 150.0, 350.0, 1400.0] {
@@ -320,7 +320,7 @@
     let mut bench = Bench::open(2, 100);
     bench.model.borrow_mut().faults.down = true;
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
-    let calls_before = tried(&mut bench);
+    let calls_before = appends_tried(&mut bench);
     for second in 0..3600 {
         let at_ms = 2000.0 + f64::from(second) * 1000.0;
         bench.run_until(at_ms);
@@ -328,7 +328,7 @@
         bench.claim(at_ms, call);
     }
     bench.run_until(3_610_000.0);
-    let appends = tried(&mut bench) - calls_before;
+    let appends = appends_tried(&mut bench) - calls_before;
     println!(
         "\nAn hour without the log, a claim a second: {} refused, {} appends tried",
         bench.refused.borrow(),
@@ -336,7 +336,7 @@
     );
 }
 
-fn tried(bench: &mut Bench) -> u64 {
+fn appends_tried(bench: &mut Bench) -> u64 {
     let slot = Rc::new(RefCell::new(0));
     let own = Rc::clone(&slot);
     let ret = Ret::new(move |report: Option<bluebell_claims::ClaimsReport>| {
@@ -374,6 +374,6 @@
     wire();
     loads();
     shards();
-    straight();
+    one_append_per_claim();
     outage();
 }
--- a/crates/claims/src/owner/flight.rs
+++ b/crates/claims/src/owner/in_flight.rs
@@ -1,33 +1,33 @@
-//! The batch that is on its way into the log.
+//! The batch that is being written to the log.
 
-use super::item::{Item, Op};
+use super::operation::{Op, QueuedOp};
 use crate::records::{BatchRecord, ClaimOp, Epoch, Record, SettleOp, encode};
 use bluebell_base::prelude::*;
 use bluebell_peers::ClaimKey;
 
-/// What is to be done next for the batch.
+/// The next step for the batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Append it, or append it again.
+    /// Append the batch, for the first time or again.
     Append,
-    /// Read up to the end, or to the offset where the log says it put the batch.
+    /// Read up to the offset that the log reported for the batch, or to the end if it reported none.
     ReadBack(Option<Offset>),
 }
 
-/// One batch in flight; there is at most one, and it stays until its outcome is known.
-pub struct Flight {
-    /// The encoded record, the same on every try.
+/// A batch in flight. An owner has at most one, and keeps it until its outcome is known.
+pub struct BatchInFlight {
+    /// The encoded record, identical in every attempt.
     pub body: Arc<str>,
-    /// What is to be done next.
+    /// The next step.
     pub stage: Stage,
-    /// Whether an append's answer was lost, so that a copy may be in the log or still arrive.
+    /// True if the answer to an append was lost, so a copy may be in the log or still arrive.
     pub uncertain: bool,
-    items: Vec<Item>,
+    items: Vec<QueuedOp>,
 }
 
-impl Flight {
-    /// Encodes a batch.
-    pub fn new(epoch: Epoch, batch: u64, items: Vec<Item>) -> Self {
+impl BatchInFlight {
+    /// Encodes a batch of operations.
+    pub fn new(epoch: Epoch, batch: u64, items: Vec<QueuedOp>) -> Self {
         let mut record = BatchRecord {
             fencing: epoch.fencing,
             round: epoch.round,
@@ -49,28 +49,28 @@
         }
     }
 
-    /// The keys of its operations.
+    /// Returns the keys of the operations.
     pub fn keys(&self) -> impl Iterator<Item = ClaimKey> {
-        self.items.iter().map(Item::key)
+        self.items.iter().map(QueuedOp::key)
     }
 
-    /// Its claims, in the order of the record.
-    pub fn claims(&mut self) -> impl Iterator<Item = &mut Item> {
+    /// Returns the claims, in the order of the record.
+    pub fn claims(&mut self) -> impl Iterator<Item = &mut QueuedOp> {
         let items = self.items.iter_mut();
         items.filter(|item| matches!(item.op, Op::Claim(..)))
     }
 
-    /// All its operations.
-    pub fn items(&mut self) -> impl Iterator<Item = &mut Item> {
+    /// Returns all operations.
+    pub fn items(&mut self) -> impl Iterator<Item = &mut QueuedOp> {
         self.items.iter_mut()
     }
 
-    /// When the oldest operation arrived that still waits for its answer.
+    /// Returns the arrival time of the oldest operation without an answer.
     pub fn oldest_ms(&self) -> Option<MonoMs> {
         let open = self.items.iter().filter(|item| match &item.op {
             Op::Claim(_, ret) => ret.is_some(),
             Op::Settle(_, ret) => ret.is_some(),
         });
-        open.map(|item| item.since_ms).min()
+        open.map(|item| item.arrived_ms).min()
     }
 }
--- a/crates/claims/src/owner/mod.rs
+++ b/crates/claims/src/owner/mod.rs
@@ -1,20 +1,21 @@
-//! The owner of one shard: reads the shard's stream, opens an epoch in it, and grants claims that
-//! are read back.
+//! The owner of one shard. It reads the shard's stream, opens an epoch in it, and grants claims
+//! whose records it has read back.
 //!
-//! Terms: *catching up* is reading what earlier owners wrote; a *flight* is the one batch on its
-//! way into the log.
+//! Terms: *catching up* is reading what earlier owners wrote; the batch *in flight* is the one that
+//! is being written to the log.
 //!
 //! Invariants: one operation on the log at a time; a claim is granted only after its batch was
-//! read back and took effect in the reduction; an operation waits at most `hold_ms` for an answer.
+//! read back and took effect in the reduction; an operation waits at most `max_wait_ms` for an
+//! answer.
 
-mod flight;
-mod item;
+mod in_flight;
+mod operation;
 mod queue;
 mod report;
-mod seek;
 mod serve;
+mod start_search;
 
-pub(crate) use item::{ClaimRet, SettleRet};
+pub(crate) use operation::{ClaimRet, SettleRet};
 pub use report::{OwnerPhase, ShardReport};
 
 use crate::records::{Epoch, EpochRecord, Record, encode, stream_of};
@@ -23,23 +24,23 @@
 use bluebell_base::prelude::*;
 use bluebell_platform::{Backoff, BackoffSettings, LogPort, ReadBatch};
 use bluebell_timers::{Subscription, Timers};
-use flight::{Flight, Stage};
+use in_flight::{BatchInFlight, Stage};
 use queue::Queue;
-use seek::{Next, Seek};
 use stakker::{CX, Fwd, fwd_to, ret_to};
+use start_search::{Next, StartSearch};
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// How the owner tries the log again.
+/// The backoff between attempts after the log has failed.
 const LOG_BACKOFF: BackoffSettings = BackoffSettings {
     first_ms: SpanMs(50),
     cap_ms: SpanMs(2000),
 };
 
-/// The bytes asked for where one record is wanted; the log gives at least one.
-const SEEK_BYTES: Bytes = Bytes(1);
+/// The read limit for a single record. The log returns at least one record.
+const SINGLE_RECORD_BYTES: Bytes = Bytes(1);
 
-/// What an owner works with.
+/// The dependencies of an owner.
 #[derive(Clone)]
 pub(crate) struct OwnerParts {
     pub settings: ClaimSettings,
@@ -49,9 +50,9 @@
     pub seed: u64,
 }
 
-/// The lease an owner works under.
+/// The lease of an owner.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Tenure {
+pub(crate) struct OwnerLease {
     pub shard: ShardId,
     pub epoch: Epoch,
     pub until_ms: MonoMs,
@@ -59,7 +60,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    Seek(Offset),
+    FindStart(Offset),
     CatchUp,
     Announce,
     Confirm(Offset),
@@ -70,54 +71,55 @@
 /// The actor that owns one shard.
 pub(crate) struct Owner {
     parts: OwnerParts,
-    tenure: Tenure,
+    lease: OwnerLease,
     stream: StreamName,
     state: ShardState,
     reduced_ms: MonoMs,
     phase: Phase,
-    seek: Seek,
+    start_search: StartSearch,
     log_busy: bool,
     log_down: bool,
     resume_ms: MonoMs,
     next_append_ms: MonoMs,
     backoff: Backoff,
     queue: Queue,
-    flight: Option<Flight>,
+    in_flight: Option<BatchInFlight>,
     last_batch: u64,
-    wake: Option<(MonoMs, Subscription)>,
-    hold: Option<Subscription>,
+    wake_timer: Option<(MonoMs, Subscription)>,
+    wait_timeout: Option<Subscription>,
     report: Rc<RefCell<ShardReport>>,
     ended: Fwd<Epoch>,
 }
 
 impl Owner {
-    /// Starts catching up; `ended` is told when a newer epoch has begun.
+    /// Starts to catch up. `ended` is called when the owner stops because another one serves, or
+    /// may serve.
     pub(crate) fn init(
         cx: CX![],
         parts: OwnerParts,
-        tenure: Tenure,
+        lease: OwnerLease,
         report: Rc<RefCell<ShardReport>>,
         ended: Fwd<Epoch>,
     ) -> Option<Self> {
-        let seed = parts.seed ^ tenure.epoch.fencing.0.rotate_left(32) ^ u64::from(tenure.shard.0);
+        let seed = parts.seed ^ lease.epoch.fencing.0.rotate_left(32) ^ u64::from(lease.shard.0);
         let mut owner = Self {
             state: ShardState::new(parts.settings.validity_ms),
-            stream: stream_of(tenure.shard),
+            stream: stream_of(lease.shard),
             reduced_ms: MonoMs::default(),
-            phase: Phase::Seek(Offset(0)),
-            seek: Seek::new(parts.settings.validity_ms),
+            phase: Phase::FindStart(Offset(0)),
+            start_search: StartSearch::new(parts.settings.validity_ms),
             log_busy: false,
             log_down: false,
             resume_ms: MonoMs::default(),
             next_append_ms: MonoMs::default(),
             backoff: Backoff::new(LOG_BACKOFF, seed),
             queue: Queue::default(),
-            flight: None,
+            in_flight: None,
             last_batch: 0,
-            wake: None,
-            hold: None,
+            wake_timer: None,
+            wait_timeout: None,
             parts,
-            tenure,
+            lease,
             report,
             ended,
         };
@@ -125,12 +127,12 @@
         Some(owner)
     }
 
-    /// Extends the lease.
+    /// Extends the lease until `until_ms`.
     pub(crate) fn renew(&mut self, _cx: CX![], until_ms: MonoMs) {
-        self.tenure.until_ms = until_ms;
+        self.lease.until_ms = until_ms;
     }
 
-    /// Prints the whole reduced state.
+    /// Returns the reduced state as text.
     pub(crate) fn print(&mut self, _cx: CX![], ret: stakker::Ret<String>) {
         ret.ret(self.state.to_string());
     }
@@ -139,7 +141,7 @@
         self.parts.timers.now_ms(cx)
     }
 
-    /// Does the next step, unless an operation on the log is under way.
+    /// Starts the next step, unless an operation on the log is under way.
     fn advance(&mut self, cx: CX![]) {
         self.publish();
         if self.log_busy {
@@ -150,7 +152,7 @@
             return;
         }
         match self.phase {
-            Phase::Seek(offset) => self.read(cx, offset, SEEK_BYTES),
+            Phase::FindStart(offset) => self.read(cx, offset, SINGLE_RECORD_BYTES),
             Phase::CatchUp | Phase::Confirm(_) => self.read_next(cx),
             Phase::Announce => self.announce(cx),
             Phase::Serving => self.serve(cx),
@@ -160,8 +162,8 @@
 
     fn announce(&mut self, cx: CX![]) {
         let record = Record::Epoch(EpochRecord {
-            fencing: self.tenure.epoch.fencing,
-            round: self.tenure.epoch.round,
+            fencing: self.lease.epoch.fencing,
+            round: self.lease.epoch.round,
             incarnation: self.parts.incarnation,
         });
         self.append(cx, encode(&record));
@@ -173,7 +175,7 @@
         report.appends += 1;
         report.appended_bytes += Bytes(body.len() as u64);
         drop(report);
-        let ret = ret_to!([cx], appended() as (Result<Offset, Error>));
+        let ret = ret_to!([cx], on_appended() as (Result<Offset, Error>));
         let log = Rc::clone(&self.parts.log);
         log.append(cx, &self.stream, vec![body], ret);
     }
@@ -184,81 +186,85 @@
 
     fn read(&mut self, cx: CX![], from: Offset, limit_bytes: Bytes) {
         self.log_busy = true;
-        let ret = ret_to!([cx], was_read() as (Result<ReadBatch, Error>));
+        let ret = ret_to!([cx], on_read() as (Result<ReadBatch, Error>));
         let log = Rc::clone(&self.parts.log);
         log.read(cx, &self.stream, from, limit_bytes, ret);
     }
 
-    fn appended(&mut self, cx: CX![], answer: Option<Result<Offset, Error>>) {
+    fn on_appended(&mut self, cx: CX![], answer: Option<Result<Offset, Error>>) {
         self.log_busy = false;
         let lost = || Err(Error::may_have_run(ErrorKind::Unavailable, "no answer"));
         match answer.unwrap_or_else(lost) {
-            Ok(offset) => self.append_done(offset),
-            Err(error) => self.append_failed(cx, &error),
+            Ok(offset) => self.on_append_done(offset),
+            Err(error) => self.on_append_failed(cx, &error),
         }
         self.advance(cx);
     }
 
-    fn append_done(&mut self, offset: Offset) {
-        match (self.phase, &mut self.flight) {
+    fn on_append_done(&mut self, offset: Offset) {
+        match (self.phase, &mut self.in_flight) {
             (Phase::Announce, _) => self.phase = Phase::Confirm(offset),
-            (_, Some(flight)) => flight.stage = Stage::ReadBack(Some(offset)),
+            (_, Some(in_flight)) => in_flight.stage = Stage::ReadBack(Some(offset)),
             _ => (),
         }
     }
 
-    fn append_failed(&mut self, cx: CX![], error: &Error) {
+    fn on_append_failed(&mut self, cx: CX![], error: &Error) {
         let now_ms = self.now_ms(cx);
         if self.phase == Phase::Announce {
-            // Whether the epoch record is in the log is found out by reading on; a second copy of
-            // it changes nothing.
+            // The epoch record may be in the log; reading on shows it. A second copy of it changes
+            // nothing.
             self.phase = Phase::CatchUp;
-            self.log_failed(now_ms, error);
+            self.on_log_error(now_ms, error);
             return;
         }
-        self.flight_failed(now_ms, error);
+        self.on_batch_append_failed(now_ms, error);
     }
 
-    /// Waits before the log is tried again.
-    fn log_failed(&mut self, now_ms: MonoMs, error: &Error) {
+    /// Delays the next attempt by the backoff.
+    fn on_log_error(&mut self, now_ms: MonoMs, error: &Error) {
         if !self.log_down {
-            log::warn!("{} of the claims: the log fails: {error}", self.stream);
+            log::warn!("claims stream {}: the log fails: {error}", self.stream);
         }
         self.log_down = true;
         self.resume_ms = now_ms + self.backoff.next_delay();
     }
 
-    /// The log answered. While the outcome of an append is unknown this proves little: reads may
-    /// work where appends don't, so the wait between tries goes on growing.
-    fn log_works(&mut self) {
-        if self.flight.as_ref().is_some_and(|flight| flight.uncertain) {
+    /// Resets the backoff after an answer of the log. While the outcome of an append is unknown the
+    /// backoff keeps growing, since reads may work while appends fail.
+    fn on_log_answer(&mut self) {
+        if self
+            .in_flight
+            .as_ref()
+            .is_some_and(|in_flight| in_flight.uncertain)
+        {
             return;
         }
         if self.log_down {
-            log::info!("{} of the claims: the log answers again", self.stream);
+            log::info!("claims stream {}: the log answers again", self.stream);
         }
         self.log_down = false;
         self.backoff.reset();
     }
 
-    fn was_read(&mut self, cx: CX![], answer: Option<Result<ReadBatch, Error>>) {
+    fn on_read(&mut self, cx: CX![], answer: Option<Result<ReadBatch, Error>>) {
         self.log_busy = false;
         let lost = || Err(Error::not_run(ErrorKind::Unavailable, "no answer"));
         match answer.unwrap_or_else(lost) {
-            Ok(batch) => self.take(cx, &batch),
+            Ok(batch) => self.apply_read(cx, &batch),
             Err(error) => {
                 let now_ms = self.now_ms(cx);
-                self.log_failed(now_ms, &error);
+                self.on_log_error(now_ms, &error);
             }
         }
         self.advance(cx);
     }
 
-    fn take(&mut self, cx: CX![], batch: &ReadBatch) {
-        self.log_works();
-        if let Phase::Seek(_) = self.phase {
-            self.phase = match self.seek.take(batch) {
-                Next::Probe(offset) => Phase::Seek(offset),
+    fn apply_read(&mut self, cx: CX![], batch: &ReadBatch) {
+        self.on_log_answer();
+        if let Phase::FindStart(_) = self.phase {
+            self.phase = match self.start_search.on_read(batch) {
+                Next::Probe(offset) => Phase::FindStart(offset),
                 Next::Begin(offset) => {
                     self.state.skip_to(offset);
                     Phase::CatchUp
@@ -268,9 +274,9 @@
         }
         if batch.first_retained > self.state.next() {
             if self.phase != Phase::CatchUp {
-                // Paused for longer than the log's retention: an epoch record may be among the
-                // records that expired unread, so this owner can't tell whether it still is one.
-                self.end("records expired before they were read");
+                // The owner was paused for longer than the log's retention. An epoch record may be
+                // among the records that expired unread, so another owner may serve by now.
+                self.end_lease("records expired before they were read");
                 return;
             }
             self.state.skip_to(batch.first_retained);
@@ -280,107 +286,110 @@
         for record in &batch.records {
             self.report.borrow_mut().read_bytes += Bytes(record.body.len() as u64);
             let applied = self.state.apply(record);
-            self.applied(cx, &record.body, &applied);
+            self.on_applied(cx, &record.body, &applied);
         }
-        if self.state.epoch() > Some(self.tenure.epoch) {
-            self.end("a newer epoch has begun");
+        if self.state.epoch() > Some(self.lease.epoch) {
+            self.end_lease("a newer epoch has begun");
             return;
         }
         let at_end = self.state.next() >= batch.end;
         let stuck = !at_end && self.state.next() == before;
-        self.read_on(cx, at_end, stuck);
+        self.after_read(cx, at_end, stuck);
     }
 
-    /// Decides whether enough was read.
-    fn read_on(&mut self, cx: CX![], at_end: bool, stuck: bool) {
+    /// Chooses the next phase after a read. `stuck` means that the read returned no record although
+    /// it was not at the end.
+    fn after_read(&mut self, cx: CX![], at_end: bool, stuck: bool) {
         let now_ms = self.now_ms(cx);
         if stuck {
             let error = Error::not_run(ErrorKind::Internal, "the log returned no records");
-            self.log_failed(now_ms, &error);
+            self.on_log_error(now_ms, &error);
             return;
         }
-        let announced = self.state.epoch() == Some(self.tenure.epoch);
+        let announced = self.state.epoch() == Some(self.lease.epoch);
         match self.phase {
             Phase::CatchUp if at_end && announced => self.begin_serving(cx),
             Phase::CatchUp if at_end => self.phase = Phase::Announce,
             Phase::Confirm(_) if announced => self.begin_serving(cx),
-            // The log forgot the record that it said it took.
+            // The log lost the epoch record that it had acknowledged.
             Phase::Confirm(_) if at_end => self.phase = Phase::Announce,
-            Phase::Serving => self.flight_read(now_ms, at_end),
+            Phase::Serving => self.on_batch_not_found(now_ms, at_end),
             _ => (),
         }
     }
 
-    fn applied(&mut self, cx: CX![], body: &str, applied: &Applied) {
+    fn on_applied(&mut self, cx: CX![], body: &str, applied: &Applied) {
         if let Applied::Batch { epoch, claims, .. } = applied
-            && *epoch == self.tenure.epoch
+            && *epoch == self.lease.epoch
         {
-            self.land(cx, body, claims);
+            self.on_own_batch_applied(cx, body, claims);
         }
     }
 
-    /// Ends the tenure: another owner serves, or may serve.
-    fn end(&mut self, why: &str) {
+    /// Stops serving because another owner serves, or may serve.
+    fn end_lease(&mut self, why: &str) {
         log::info!(
-            "{} of the claims: {why}, this node serves it no more",
+            "claims stream {}: {why}; this node no longer serves it",
             self.stream
         );
         self.phase = Phase::Ended;
-        // Told before the answers go out, so that tries again go to the new owner.
-        self.ended.fwd(self.tenure.epoch);
-        // A batch in flight lies behind the newer epoch, or nobody knows where.
-        if let Some(mut flight) = self.flight.take() {
-            let unsure = self.unsure("the shard has another owner");
-            flight.items().for_each(|item| item.refuse(unsure.clone()));
+        // Reported before the answers are sent, so that retries go to the new owner.
+        self.ended.fwd(self.lease.epoch);
+        // The batch in flight lies after the newer epoch record, or its position is unknown.
+        if let Some(mut in_flight) = self.in_flight.take() {
+            let error = self.may_have_run_error("the shard has another owner");
+            in_flight
+                .items()
+                .for_each(|item| item.refuse(error.clone()));
         }
-        let refused = self.ownerless();
+        let refused = self.not_owner_error();
         for mut item in self.queue.take_all() {
             item.refuse(refused.clone());
         }
         self.publish();
     }
 
-    /// An error for an operation that is not in the log and never will be.
-    fn refused(&self, why: &str) -> Error {
+    /// Returns an error for an operation that is not in the log and never will be.
+    fn not_run_error(&self, why: &str) -> Error {
         Error::not_run(ErrorKind::Unavailable, why).retry_after(self.parts.settings.retry_after_ms)
     }
 
-    /// The same where another owner may serve the shard.
-    fn ownerless(&self) -> Error {
+    /// Returns such an error for a shard that another owner may serve.
+    fn not_owner_error(&self) -> Error {
         let why = "this node does not own the shard any more";
         Error::not_run(ErrorKind::NotFound, why).retry_after(self.parts.settings.retry_after_ms)
     }
 
-    /// An error for an operation that may be in the log, now or later.
-    fn unsure(&self, why: &str) -> Error {
+    /// Returns an error for an operation that is in the log, may be, or may still arrive there.
+    fn may_have_run_error(&self, why: &str) -> Error {
         Error::may_have_run(ErrorKind::Unavailable, why)
             .retry_after(self.parts.settings.retry_after_ms)
     }
 
     fn wake_at(&mut self, cx: CX![], at_ms: MonoMs) {
-        if let Some((set_ms, subscription)) = self.wake {
+        if let Some((set_ms, subscription)) = self.wake_timer {
             if set_ms <= at_ms {
                 return;
             }
             self.parts.timers.cancel(cx, subscription);
         }
-        let fwd = fwd_to!([cx], woken() as (MonoMs));
+        let fwd = fwd_to!([cx], on_wake() as (MonoMs));
         let subscription = self.parts.timers.subscribe_at(cx, at_ms, fwd);
-        self.wake = Some((at_ms, subscription));
+        self.wake_timer = Some((at_ms, subscription));
     }
 
-    fn woken(&mut self, cx: CX![], _now_ms: MonoMs) {
-        self.wake = None;
+    fn on_wake(&mut self, cx: CX![], _now_ms: MonoMs) {
+        self.wake_timer = None;
         self.advance(cx);
     }
 
     fn publish(&self) {
         let counts = self.state.counts();
         let mut report = self.report.borrow_mut();
-        report.shard = self.tenure.shard.0;
-        report.fencing = self.tenure.epoch.fencing.0;
+        report.shard = self.lease.shard.0;
+        report.fencing = self.lease.epoch.fencing.0;
         report.phase = match self.phase {
-            Phase::Seek(_) | Phase::CatchUp => OwnerPhase::CatchUp,
+            Phase::FindStart(_) | Phase::CatchUp => OwnerPhase::CatchUp,
             Phase::Announce => OwnerPhase::Announce,
             Phase::Confirm(_) => OwnerPhase::Confirm,
             Phase::Serving => OwnerPhase::Serving,
--- a/crates/claims/src/owner/item.rs
+++ b/crates/claims/src/owner/operation.rs
@@ -1,19 +1,19 @@
-//! One claim or settlement on its way into the log, with the way to answer it.
+//! A claim or settlement that is being written to the log, with the `Ret` for its answer.
 //!
-//! Here an error's verdict speaks of the *record*: `NotRun` says that it is not in the log and
-//! never will be, `MayHaveRun` that it may be.
+//! The verdict of an error is about the *record* here: `NotRun` means that the record is not in the
+//! log and never will be, `MayHaveRun` that it may be.
 
 use bluebell_base::prelude::*;
 use bluebell_peers::{ClaimAnswer, ClaimCall, ClaimKey, SettleCall};
 use stakker::Ret;
 
-/// Takes the answer to a claim.
+/// Receives the answer to a claim.
 pub type ClaimRet = Ret<Result<ClaimAnswer, Error>>;
 
-/// Takes the answer to a settlement, once it is in the log.
+/// Receives the answer to a settlement, once it is in the log.
 pub type SettleRet = Ret<Result<(), Error>>;
 
-/// A claim or settlement; its `Ret` is taken by the first answer.
+/// A claim or settlement. The first answer takes its `Ret`.
 pub enum Op {
     /// A claim.
     Claim(ClaimCall, Option<ClaimRet>),
@@ -21,16 +21,16 @@
     Settle(SettleCall, Option<SettleRet>),
 }
 
-/// An operation and when it arrived.
-pub struct Item {
+/// An operation and its arrival time.
+pub struct QueuedOp {
     /// The operation.
     pub op: Op,
-    /// When it arrived.
-    pub since_ms: MonoMs,
+    /// The time when it arrived.
+    pub arrived_ms: MonoMs,
 }
 
-impl Item {
-    /// The key it is about.
+impl QueuedOp {
+    /// Returns the key of the operation.
     pub fn key(&self) -> ClaimKey {
         match &self.op {
             Op::Claim(call, _) => call.key,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Answers a claim; a settlement is left as it is.
+    /// Answers a claim. Does nothing for a settlement.
     pub fn answer_claim(&mut self, answer: Result<ClaimAnswer, Error>) {
         if let Op::Claim(_, ret) = &mut self.op
             && let Some(ret) = ret.take()
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Says that a settlement is in the log; a claim is left as it is.
+    /// Reports that a settlement is in the log. Does nothing for a claim.
     pub fn answer_settled(&mut self) {
         if let Op::Settle(_, ret) = &mut self.op
             && let Some(ret) = ret.take()
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Answers with an error.
+    /// Answers the operation with an error.
     pub fn refuse(&mut self, error: Error) {
         match &mut self.op {
             Op::Claim(_, ret) => {
--- a/crates/claims/src/owner/report.rs
+++ b/crates/claims/src/owner/report.rs
@@ -1,22 +1,23 @@
-//! What an owner tells of its shard.
+//! The report of an owner on its shard.
 
 use bluebell_base::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// How far an owner has come.
+/// The phase of an owner.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OwnerPhase {
-    /// It reads what earlier owners wrote.
+    /// The owner reads what earlier owners wrote.
     #[default]
     CatchUp,
-    /// It writes its epoch record.
+    /// The owner writes its epoch record.
     Announce,
-    /// It reads up to its epoch record.
+    /// The owner reads up to its epoch record.
     Confirm,
-    /// It answers claims.
+    /// The owner answers claims.
     Serving,
-    /// A newer epoch has begun, or its records expired unread: it answers no more claims.
+    /// The owner answers no more claims: a newer epoch has begun, or records expired before it
+    /// read them.
     Ended,
 }
 
@@ -27,36 +28,36 @@
     pub shard: u32,
     /// The fencing number of the lease.
     pub fencing: u64,
-    /// How far the owner has come.
+    /// The phase of the owner.
     pub phase: OwnerPhase,
-    /// Keys kept.
+    /// Number of keys in the table.
     pub keys: usize,
-    /// About how much memory they take.
+    /// Estimated memory of the keys.
     pub keys_bytes: Bytes,
-    /// Operations that wait.
+    /// Number of operations that wait.
     pub queued: usize,
-    /// Whether the log did not answer lately.
+    /// True while the log fails or the outcome of an append is unknown.
     pub log_down: bool,
-    /// Claims granted.
+    /// Number of claims granted.
     pub granted: u64,
-    /// Claims of keys that were held.
+    /// Number of claims of keys that another request held.
     pub held: u64,
-    /// Claims refused.
+    /// Number of operations refused.
     pub refused: u64,
-    /// Settlements written.
+    /// Number of settlements written.
     pub settled: u64,
-    /// Appends made, tries again included.
+    /// Number of appends, including retries.
     pub appends: u64,
     /// Bytes appended.
     pub appended_bytes: Bytes,
-    /// Bytes read, the reading back of own batches included.
+    /// Bytes read, including the owner's own batches.
     pub read_bytes: Bytes,
-    /// Batches of older epochs that were fenced out.
+    /// Number of batches of older epochs that were fenced out.
     pub fenced: u64,
-    /// Second copies of batches.
+    /// Number of duplicate batches.
     pub duplicates: u64,
-    /// Records skipped as unknown.
+    /// Number of records skipped because they are of an unknown kind or don't decode.
     pub skipped: u64,
-    /// Claims written for keys that were held; see the reduction.
+    /// Number of claims written for keys that were held; see [`crate::reduce`].
     pub contested: u64,
 }
--- a/crates/claims/src/print/mod.rs
+++ b/crates/claims/src/print/mod.rs
@@ -1,11 +1,11 @@
-//! Prints a reduced shard, one key a line, for dumps and tests.
+//! Prints a reduced shard for dumps and tests, with one key per line.
 
 use crate::reduce::ShardState;
 use crate::table::{Entry, EntryState};
 use bluebell_peers::ClaimKey;
 use std::fmt;
 
-/// The longest list of keys that is printed.
+/// The maximum number of keys printed.
 const PRINTED_KEYS: usize = 1000;
 
 impl fmt::Display for ShardState {
--- a/crates/claims/src/records/mod.rs
+++ b/crates/claims/src/records/mod.rs
@@ -1,11 +1,11 @@
 //! The records of a shard's log stream and their codec.
 //!
 //! Terms: an *epoch record* opens an owner's epoch; a *batch* holds the claims and settlements of
-//! one append, numbered within its epoch.
+//! one append and is numbered within its epoch.
 //!
-//! Rule for records of another version: unknown fields are ignored; a record of an unknown kind,
-//! or one that does not decode, is skipped and counted. A newer version that changes the meaning
-//! of claims must therefore use a new kind *and* a new stream.
+//! Compatibility: unknown fields are ignored. A record of an unknown kind, or one that does not
+//! decode, is skipped and counted. A newer version that changes the meaning of claims must
+//! therefore use a new kind *and* a new stream.
 
 mod packed;
 
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "k")]
 pub enum Record {
-    /// An owner begins its epoch.
+    /// The beginning of an owner's epoch.
     #[serde(rename = "epoch")]
     Epoch(EpochRecord),
     /// The claims and settlements of one append.
@@ -27,15 +27,15 @@
     Batch(BatchRecord),
 }
 
-/// An owner's epoch; a later one is larger.
+/// An owner's epoch. A later epoch compares greater.
 ///
-/// The fencing number alone does not tell two tenures apart: a lease that lapsed while the log was
-/// down may be renewed under the same number, and batches of the first tenure may still arrive.
+/// The fencing number alone does not identify an epoch: a lease that expired while the log was down
+/// may be renewed under the same number, and batches of the earlier epoch may still arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Epoch {
     /// The fencing number of the owner's lease.
     pub fencing: Fencing,
-    /// The owner's own count of its tenures.
+    /// The number of this epoch among all that the owner's process has begun.
     pub round: u64,
 }
 
@@ -45,30 +45,30 @@
     }
 }
 
-/// The beginning of an epoch.
+/// The record that begins an epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EpochRecord {
     /// The fencing number of the owner's lease.
     #[serde(rename = "e")]
     pub fencing: Fencing,
-    /// The owner's count of its tenures.
+    /// The number of this epoch among all that the owner's process has begun.
     #[serde(rename = "r", default)]
     pub round: u64,
-    /// The owner.
+    /// The incarnation of the owner's process.
     #[serde(rename = "i")]
     pub incarnation: Incarnation,
 }
 
-/// One batch. Its settlements take effect before its claims.
+/// A batch of settlements and claims. Its settlements take effect before its claims.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BatchRecord {
-    /// The fencing number of the epoch it belongs to.
+    /// The fencing number of the batch's epoch.
     #[serde(rename = "e")]
     pub fencing: Fencing,
-    /// The round of the epoch it belongs to.
+    /// The round of the batch's epoch.
     #[serde(rename = "r", default)]
     pub round: u64,
-    /// Its number in the epoch, from 1; a second copy of it is told by the number.
+    /// The number of the batch within its epoch, counted from 1. It identifies duplicates.
     #[serde(rename = "n")]
     pub batch: u64,
     /// The settlements.
@@ -80,7 +80,7 @@
 }
 
 impl EpochRecord {
-    /// The epoch that begins.
+    /// Returns the epoch that begins.
     pub fn epoch(&self) -> Epoch {
         Epoch {
             fencing: self.fencing,
@@ -90,7 +90,7 @@
 }
 
 impl BatchRecord {
-    /// The epoch it belongs to.
+    /// Returns the batch's epoch.
     pub fn epoch(&self) -> Epoch {
         Epoch {
             fencing: self.fencing,
@@ -99,17 +99,17 @@
     }
 }
 
-/// A claim as written: key, fingerprint, the request's incarnation and sequence.
+/// An encoded claim: key, fingerprint, and the request's incarnation and sequence number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimOp(Packed128, Packed64, Packed64, u64);
 
-/// A settlement as written: key, whether it ran, the request's incarnation and sequence.
+/// An encoded settlement: key, outcome code, and the request's incarnation and sequence number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettleOp(Packed128, u8, Packed64, u64);
 
 /// The code of [`Settlement::NotRun`], the only one that frees a key.
 const NOT_RUN_CODE: u8 = 0;
-/// The code of [`Settlement::Ran`]; an unknown code is read as this, so that it frees no key.
+/// The code of [`Settlement::Ran`]. An unknown code is decoded as this, so that it frees no key.
 const RAN_CODE: u8 = 1;
 
 impl From<&ClaimCall> for ClaimOp {
@@ -176,25 +176,25 @@
     }
 }
 
-/// Encodes a record as the log keeps it.
+/// Encodes a record for the log, as JSON.
 pub fn encode(record: &Record) -> Arc<str> {
-    // Only maps with keys that are no text, or failing `Serialize` code, fail to encode.
+    // Encoding fails only for maps whose keys aren't strings, or if `Serialize` code fails.
     serde_json::to_string(record)
         .expect("a record encodes")
         .into()
 }
 
-/// Decodes a record; none where it is of an unknown kind or damaged.
+/// Decodes a record. Returns `None` if it is of an unknown kind or damaged.
 pub fn decode(body: &str) -> Option<Record> {
     serde_json::from_str(body).ok()
 }
 
-/// The stream of a shard.
+/// Returns the name of a shard's stream.
 pub fn stream_of(shard: ShardId) -> StreamName {
     StreamName::from(format!("claims-{}", shard.0).as_str())
 }
 
-/// The shard of a key. Keys are hashes, so the shards fill evenly.
+/// Returns the shard of a key. Keys are hashes, so they spread evenly over the shards.
 pub fn shard_of(key: ClaimKey, shards: u32) -> ShardId {
     let shards = u128::from(shards.max(1));
     ShardId((key.0 % shards) as u32)
--- a/crates/claims/src/reduce/mod.rs
+++ b/crates/claims/src/reduce/mod.rs
@@ -1,24 +1,25 @@
-//! The reduction of a shard's stream: a pure function of its records, the same at every reader.
+//! The reduction of a shard's stream to its state. It is a pure function of the records, so all
+//! readers get the same state.
 //!
 //! Rules, in log order:
-//! - an epoch record with a larger epoch than all before it begins that epoch; any other is
+//! - an epoch record with a greater epoch than all before it begins that epoch; any other is
 //!   ignored;
 //! - a batch of an older epoch is fenced out: its claims were never granted;
 //! - a batch whose epoch record is no longer retained begins its epoch;
-//! - a batch whose number is not larger than the last one of its epoch is a second copy and is
+//! - a batch whose number is not greater than the last one of its epoch is a duplicate and is
 //!   ignored;
-//! - of a batch, settlements take effect before claims;
+//! - the settlements of a batch take effect before its claims;
 //! - a claim of a key that is free, freed by another request or expired makes its request the
 //!   holder; a claim of a key that another request holds makes the entry contested;
-//! - a settlement takes effect only where its request holds the key; `NotRun` of a key nobody
-//!   holds is remembered, so that a claim that arrives later than its own settlement isn't granted.
+//! - a settlement takes effect only if its request holds the key; `NotRun` for a key that no request
+//!   holds is recorded, so that a claim that arrives after its own settlement isn't granted.
 //!
-//! Contested entries guard against this failure: a reader that starts where retention begins does
-//! not see an epoch record that is gone, and takes a late batch of an older epoch for a good one.
-//! It then believes that a request holds a key which the owner in truth granted to another one. If
-//! the first one's settlement freed the key, a third could be granted while the second may have
-//! run. An owner writes a claim only for a key that is free in its own table, so two holders in
-//! the log show this case, and the entry stays held.
+//! Contested entries prevent this failure: a reader that starts at the first retained record does
+//! not see an expired epoch record, and accepts a late batch of an older epoch. In its state a
+//! request then holds a key that the owner had granted to another request. If the settlement of the
+//! first request freed the key, a third request could be granted while the second may have run. An
+//! owner writes a claim only for a key that is free in its own table, so two holders in the log
+//! identify this case, and the entry stays held.
 
 mod outcome;
 
@@ -30,20 +31,20 @@
 use bluebell_peers::{ClaimCall, SettleCall, Settlement};
 use bluebell_platform::LogRecord;
 
-/// What was skipped or refused by the rules.
+/// Counters of records and claims that were skipped or had no regular effect.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReduceCounts {
-    /// Batches of older epochs.
+    /// Number of batches of older epochs.
     pub fenced: u64,
-    /// Second copies of batches.
+    /// Number of duplicate batches.
     pub duplicates: u64,
-    /// Records of an unknown kind or that don't decode.
+    /// Number of records of an unknown kind or that don't decode.
     pub skipped: u64,
-    /// Claims of keys that another request held.
+    /// Number of claims of keys that another request held.
     pub contested: u64,
 }
 
-/// The state of one shard, reduced from its stream.
+/// The state of a shard, reduced from its stream.
 #[derive(Debug)]
 pub struct ShardState {
     pub(crate) validity_ms: SpanMs,
@@ -56,11 +57,11 @@
     swept_ms: WallMs,
 }
 
-/// Sweeps per validity: at most an eighth of the memory is held by expired keys.
+/// Sweeps per validity. Expired keys take at most an eighth of the memory.
 const SWEEPS_PER_VALIDITY: u64 = 8;
 
 impl ShardState {
-    /// The state before the first record.
+    /// Creates the state before the first record.
     pub fn new(validity_ms: SpanMs) -> Self {
         Self {
             validity_ms,
@@ -74,37 +75,37 @@
         }
     }
 
-    /// The offset of the next record to apply.
+    /// Returns the offset of the next record to apply.
     pub fn next(&self) -> Offset {
         self.next
     }
 
-    /// Starts at a later record; those before it have expired.
+    /// Skips to a later record. The records before it have expired or are not needed.
     pub fn skip_to(&mut self, offset: Offset) {
         self.next = self.next.max(offset);
     }
 
-    /// The newest time at which a record was appended, by the log's clock.
+    /// Returns the newest append time of a record, by the log's clock.
     pub fn log_ms(&self) -> WallMs {
         self.log_ms
     }
 
-    /// The epoch.
+    /// Returns the current epoch, or `None` before the first.
     pub fn epoch(&self) -> Option<Epoch> {
         self.epoch.map(|record| record.epoch())
     }
 
-    /// The keys.
+    /// Returns the table of keys.
     pub fn table(&self) -> &KeyTable {
         &self.table
     }
 
-    /// What was skipped or refused.
+    /// Returns the counters.
     pub fn counts(&self) -> ReduceCounts {
         self.counts
     }
 
-    /// Applies the next record; one that was applied before is ignored.
+    /// Applies the next record. A record before the next offset is ignored.
     pub fn apply(&mut self, record: &LogRecord) -> Applied {
         if record.offset < self.next {
             return Applied::Ignored;
@@ -174,7 +175,7 @@
         let own = entry.request == claim.request;
         match (entry.state, own) {
             (EntryState::Freed, false) => self.grant(claim),
-            (EntryState::Freed, true) => ClaimOutcome::GivenBack,
+            (EntryState::Freed, true) => ClaimOutcome::Released,
             (EntryState::Pending, true) => ClaimOutcome::Granted,
             (EntryState::Contested | EntryState::Ran, true) => ClaimOutcome::Held(entry),
             (EntryState::Pending, false) => self.contest(claim, entry),
@@ -199,7 +200,7 @@
     fn contest(&mut self, claim: &ClaimCall, mut entry: Entry) -> ClaimOutcome {
         self.counts.contested += 1;
         entry.state = EntryState::Contested;
-        // The later claim may be the one that ran, so the key stays held for its validity.
+        // The later claim may be the one that ran, so the key stays held for that claim's validity.
         entry.claimed_s = seconds(self.log_ms);
         self.table.put(claim.key, entry);
         ClaimOutcome::Held(entry)
@@ -220,13 +221,14 @@
         let state = match (entry.state, settle.settlement) {
             (EntryState::Pending, Settlement::NotRun) => EntryState::Freed,
             (EntryState::Pending, Settlement::Ran) => EntryState::Ran,
-            // A request is settled once; nothing frees a contested key.
+            // Only the first settlement of a request counts, and nothing frees a contested key.
             (state, _) => state,
         };
         self.table.put(settle.key, Entry { state, ..entry });
     }
 
-    /// A claim can arrive after the settlement that gave it up; it must find that settlement.
+    /// Records a `NotRun` settlement for a key that no request holds, since the request's claim may
+    /// arrive after it and must not be granted.
     fn settle_unknown(&mut self, settle: &SettleCall) {
         if settle.settlement != Settlement::NotRun {
             return;
--- a/crates/claims/src/reduce/outcome.rs
+++ b/crates/claims/src/reduce/outcome.rs
@@ -1,38 +1,38 @@
-//! What applying one record came to.
+//! The result of applying one record.
 
 use crate::records::Epoch;
 use crate::table::Entry;
 
-/// What became of one claim of a batch.
+/// The outcome of one claim of a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// Its request holds the key.
+    /// The claim's request holds the key.
     Granted,
-    /// The key is held as the entry says.
+    /// The key is held, as described by the entry.
     Held(Entry),
-    /// Its request gave the key back before.
-    GivenBack,
+    /// The claim's request had already released the key.
+    Released,
 }
 
-/// What applying one record came to.
+/// The result of applying one record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Applied {
     /// An epoch began.
     Epoch(Epoch),
     /// A batch took effect.
     Batch {
-        /// Its epoch.
+        /// The epoch of the batch.
         epoch: Epoch,
-        /// Its number.
+        /// The number of the batch in its epoch.
         batch: u64,
-        /// What became of its claims, in order.
+        /// The outcomes of its claims, in the order of the record.
         claims: Vec<ClaimOutcome>,
     },
-    /// A batch came after a newer epoch had begun.
+    /// A batch was fenced out because a newer epoch had begun before it.
     Fenced {
-        /// Its epoch.
+        /// The epoch of the batch.
         epoch: Epoch,
-        /// Its number.
+        /// The number of the batch in its epoch.
         batch: u64,
     },
     /// The record changed nothing.
--- a/crates/claims/src/router/handle.rs
+++ b/crates/claims/src/router/handle.rs
@@ -1,4 +1,4 @@
-//! The running handle of a node's claims.
+//! The handle to the claims actor of a node.
 
 use super::Claims;
 use crate::owner::{OwnerParts, ShardReport};
@@ -12,47 +12,47 @@
 use stakker::{ActorOwn, Core, Ret, actor, call, ret_nop};
 use std::rc::Rc;
 
-/// What a node's claims work with.
+/// The dependencies of a node's claims.
 pub struct ClaimsParts {
     /// The settings, checked against the log's retention.
     pub settings: ClaimSettings,
-    /// The time.
+    /// The timer service.
     pub timers: Timers,
     /// The platform's log.
     pub log: Rc<dyn LogPort>,
-    /// The peers.
+    /// The interface to the peers.
     pub peers: Rc<dyn PeerPort>,
-    /// This run of the process.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
-    /// For the jitter of tries.
+    /// The seed for the jitter of retries.
     pub seed: u64,
 }
 
-/// What a node's claims tell of themselves.
+/// The state and counters of a node's claims.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimsReport {
-    /// The shards owned here.
+    /// The reports of the shards that this node owns.
     pub owned: Vec<ShardReport>,
-    /// The shards whose owner is known.
+    /// Number of shards whose owner is known.
     pub known_owners: usize,
-    /// Claims that wait for an answer.
+    /// Number of claims that wait for an answer.
     pub claims_waiting: usize,
-    /// Settlements that are not in the log yet.
+    /// Number of settlements that are not in the log yet.
     pub settlements_waiting: usize,
-    /// Settlements dropped for lack of room.
+    /// Number of settlements dropped because too many were waiting.
     pub settlements_dropped: u64,
-    /// Claims that were given up.
+    /// Number of claims that were given up.
     pub given_up: u64,
 }
 
-/// A node's running claims; cheap to clone, they end with the last handle.
+/// A handle to the claims actor. It is cheap to clone, and the actor ends with the last handle.
 #[derive(Clone)]
 pub struct ClaimsHandle {
     actor: Rc<ActorOwn<Claims>>,
 }
 
 impl Claims {
-    /// Starts the claims of a node that owns no shard yet.
+    /// Starts the claims actor of a node that owns no shard yet.
     pub fn spawn(core: &mut Core, parts: ClaimsParts) -> ClaimsHandle {
         let peers = parts.peers;
         let parts = OwnerParts {
@@ -70,22 +70,22 @@
 }
 
 impl ClaimsHandle {
-    /// Says who owns a shard now, as read from the leases stream.
+    /// Sets the owner of a shard, as read from the leases stream.
     pub fn set_owner(&self, _core: &mut Core, owner: ShardOwner) {
         call!([self.actor], set_owner(owner));
     }
 
-    /// Says that this node owns a shard until the instant, for the first time or again.
+    /// Reports that this node owns a shard until `until_ms`, with a new or a renewed lease.
     pub fn shard_held(&self, _core: &mut Core, shard: ShardId, fencing: Fencing, until_ms: MonoMs) {
         call!([self.actor], shard_held(shard, fencing, until_ms));
     }
 
-    /// Says that this node does not own a shard any more.
+    /// Reports that this node no longer owns a shard.
     pub fn shard_lost(&self, _core: &mut Core, shard: ShardId) {
         call!([self.actor], shard_lost(shard));
     }
 
-    /// Takes a peer's [`PeerCall::Claim`](bluebell_peers::PeerCall::Claim).
+    /// Handles a peer's [`PeerCall::Claim`](bluebell_peers::PeerCall::Claim).
     pub fn incoming_claim(
         &self,
         _core: &mut Core,
@@ -95,7 +95,7 @@
         call!([self.actor], incoming_claim(call, ret));
     }
 
-    /// Takes a peer's [`PeerCall::Settle`](bluebell_peers::PeerCall::Settle).
+    /// Handles a peer's [`PeerCall::Settle`](bluebell_peers::PeerCall::Settle).
     pub fn incoming_settle(
         &self,
         _core: &mut Core,
@@ -105,12 +105,12 @@
         call!([self.actor], incoming_settle(call, ret));
     }
 
-    /// Tells the state and the counters.
+    /// Reports the state and the counters.
     pub fn report(&self, _core: &mut Core, ret: Ret<ClaimsReport>) {
         call!([self.actor], report(ret));
     }
 
-    /// Prints the keys of a shard owned here.
+    /// Returns the keys of a shard as text, if this node owns it.
     pub fn print(&self, _core: &mut Core, shard: ShardId, ret: Ret<String>) {
         call!([self.actor], print(shard, ret));
     }
--- a/crates/claims/src/router/mod.rs
+++ b/crates/claims/src/router/mod.rs
@@ -1,26 +1,26 @@
-//! The claims of one node: each claim and settlement goes to the owner of its key's shard, here
-//! or at a peer.
+//! Routes each claim and settlement of a node to the owner of its key's shard, on this node or a
+//! peer.
 //!
-//! Terms: an *attempt* is one try to get an answer to a claim; a claim is *given up* when its time
-//! is over or trying again makes no sense.
+//! Terms: an *attempt* is one request to an owner for a claim; a claim is *given up* when its time
+//! is over or another attempt would not help.
 //!
-//! Invariants: a claim is answered once, within `claim_timeout_ms`; a grant that comes after the
-//! claim was given up reaches nobody; a claim that was given up and may be recorded is settled
-//! `NotRun` in the background, which is true because its request never got the grant.
+//! Invariants: a claim is answered once, within `claim_timeout_ms`; a grant that arrives after the
+//! claim was given up is discarded; a claim that was given up and may be recorded is settled
+//! `NotRun` in the background, which is correct because its request never received the grant.
 
 mod handle;
 mod pending;
-mod settling;
+mod settlements;
 
 pub use handle::{ClaimsHandle, ClaimsParts, ClaimsReport};
 
 use crate::ShardOwner;
-use crate::owner::{ClaimRet, Owner, OwnerParts, SettleRet, ShardReport, Tenure};
+use crate::owner::{ClaimRet, Owner, OwnerLease, OwnerParts, SettleRet, ShardReport};
 use crate::records::{Epoch, shard_of};
 use bluebell_base::prelude::*;
 use bluebell_peers::{ClaimCall, ClaimKey, PeerAnswer, PeerCall, PeerPort, SettleCall};
 use pending::PendingClaims;
-use settling::Settling;
+use settlements::PendingSettlements;
 use stakker::{Actor, ActorOwn, CX, Ret, actor, call, fwd_to, ret_nop};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -31,31 +31,31 @@
     peers: Rc<dyn PeerPort>,
     shards: Vec<Shard>,
     pending: PendingClaims,
-    settling: Settling,
-    rounds: u64,
+    settlements: PendingSettlements,
+    last_round: u64,
 }
 
-/// One shard as this node sees it.
+/// A shard as known to this node.
 #[derive(Default)]
 struct Shard {
     owner: Option<ShardOwner>,
-    /// Since when claims have found no owner.
-    ownerless_ms: Option<MonoMs>,
-    held: Option<Held>,
+    /// The time since which claims have found no owner.
+    no_owner_since_ms: Option<MonoMs>,
+    owned: Option<OwnedShard>,
 }
 
 /// A shard that this node owns.
-struct Held {
+struct OwnedShard {
     epoch: Epoch,
     actor: ActorOwn<Owner>,
     report: Rc<RefCell<ShardReport>>,
 }
 
-/// Where a shard's claims go now.
+/// The current destination of a shard's claims.
 enum Route {
-    Here(Actor<Owner>),
+    Local(Actor<Owner>),
     Peer(Incarnation, Address),
-    Nowhere,
+    NoOwner,
 }
 
 impl Claims {
@@ -64,11 +64,11 @@
         let shards = (0..count).map(|_| Shard::default()).collect();
         Some(Self {
             pending: PendingClaims::default(),
-            settling: Settling::new(parts.settings.settlements),
+            settlements: PendingSettlements::new(parts.settings.max_settlements),
             parts,
             peers,
             shards,
-            rounds: 0,
+            last_round: 0,
         })
     }
 
@@ -80,9 +80,9 @@
         let same = slot.owner.as_ref().map(|old| old.incarnation) == Some(owner.incarnation);
         slot.owner = Some(owner);
         if !same {
-            slot.ownerless_ms = None;
+            slot.no_owner_since_ms = None;
         }
-        self.ask_new_owner(cx, shard);
+        self.retry_at_new_owner(cx, shard);
     }
 
     pub(crate) fn shard_held(
@@ -95,39 +95,39 @@
         let Some(slot) = self.shards.get_mut(shard.index()) else {
             return;
         };
-        if let Some(held) = slot
-            .held
+        if let Some(owned) = slot
+            .owned
             .as_ref()
-            .filter(|held| held.epoch.fencing >= fencing)
+            .filter(|owned| owned.epoch.fencing >= fencing)
         {
-            if held.epoch.fencing == fencing {
-                call!([held.actor], renew(until_ms));
+            if owned.epoch.fencing == fencing {
+                call!([owned.actor], renew(until_ms));
             }
             return;
         }
-        let held = self.begin_tenure(cx, shard, fencing, until_ms);
+        let owned = self.start_owner(cx, shard, fencing, until_ms);
         if let Some(slot) = self.shards.get_mut(shard.index()) {
-            slot.held = Some(held);
-            slot.ownerless_ms = None;
+            slot.owned = Some(owned);
+            slot.no_owner_since_ms = None;
         }
-        self.ask_new_owner(cx, shard);
+        self.retry_at_new_owner(cx, shard);
     }
 
-    /// Starts an owner for a lease that is new here.
-    fn begin_tenure(
+    /// Starts an owner for a lease that is new on this node.
+    fn start_owner(
         &mut self,
         cx: CX![],
         shard: ShardId,
         fencing: Fencing,
         until_ms: MonoMs,
-    ) -> Held {
+    ) -> OwnedShard {
         let report = Rc::new(RefCell::new(ShardReport::default()));
-        self.rounds += 1;
+        self.last_round += 1;
         let epoch = Epoch {
             fencing,
-            round: self.rounds,
+            round: self.last_round,
         };
-        let tenure = Tenure {
+        let lease = OwnerLease {
             shard,
             epoch,
             until_ms,
@@ -136,99 +136,96 @@
             .owner_ended(cx, shard, ended));
         let parts = self.parts.clone();
         let own_report = Rc::clone(&report);
-        let actor = actor!(
-            cx,
-            Owner::init(parts, tenure, own_report, ended),
-            ret_nop!()
-        );
-        Held {
+        let actor = actor!(cx, Owner::init(parts, lease, own_report, ended), ret_nop!());
+        OwnedShard {
             epoch,
             actor,
             report,
         }
     }
 
-    /// Until when claims of a shard without an owner may wait for one.
-    fn owner_due_ms(&mut self, shard: ShardId, now_ms: MonoMs) -> MonoMs {
-        let hold_ms = self.parts.settings.hold_ms;
+    /// Returns the time until which claims of a shard without an owner may wait for one.
+    fn owner_wait_deadline_ms(&mut self, shard: ShardId, now_ms: MonoMs) -> MonoMs {
+        let max_wait_ms = self.parts.settings.max_wait_ms;
         match self.shards.get_mut(shard.index()) {
-            Some(slot) => *slot.ownerless_ms.get_or_insert(now_ms) + hold_ms,
+            Some(slot) => *slot.no_owner_since_ms.get_or_insert(now_ms) + max_wait_ms,
             None => now_ms,
         }
     }
 
     fn owner_answered(&mut self, shard: ShardId) {
         if let Some(slot) = self.shards.get_mut(shard.index()) {
-            slot.ownerless_ms = None;
+            slot.no_owner_since_ms = None;
         }
     }
 
     pub(crate) fn shard_lost(&mut self, _cx: CX![], shard: ShardId) {
-        // Dropping the owner drops the `Ret`s of what waits there: their records are unsure.
+        // Dropping the owner drops the `Ret`s of its waiting operations, which may be in the log.
         if let Some(slot) = self.shards.get_mut(shard.index()) {
-            slot.held = None;
+            slot.owned = None;
         }
     }
 
     fn owner_ended(&mut self, _cx: CX![], shard: ShardId, epoch: Epoch) {
         if let Some(slot) = self.shards.get_mut(shard.index()) {
-            slot.held.take_if(|held| held.epoch == epoch);
+            slot.owned.take_if(|owned| owned.epoch == epoch);
         }
     }
 
     fn route(&self, key: ClaimKey) -> Route {
         let shard = shard_of(key, self.parts.settings.shards);
         let Some(slot) = self.shards.get(shard.index()) else {
-            return Route::Nowhere;
+            return Route::NoOwner;
         };
-        if let Some(held) = &slot.held {
-            return Route::Here(held.actor.clone());
+        if let Some(owned) = &slot.owned {
+            return Route::Local(owned.actor.clone());
         }
         match &slot.owner {
             Some(owner) if owner.incarnation != self.parts.incarnation => {
                 Route::Peer(owner.incarnation, owner.address.clone())
             }
-            _ => Route::Nowhere,
+            _ => Route::NoOwner,
         }
     }
 
-    fn nowhere(&self) -> Error {
-        // `NotFound` tells other nodes that they asked the wrong one; callers never see it.
+    fn no_owner_error(&self) -> Error {
+        // `NotFound` tells another node that its request went to the wrong node. Callers never get
+        // it.
         Error::not_run(ErrorKind::NotFound, "the key's shard has no owner here now")
             .retry_after(self.parts.settings.retry_after_ms)
     }
 
-    /// A claim from a peer, for a shard that this node should own.
+    /// Handles a claim from a peer for a shard that this node should own.
     pub(crate) fn incoming_claim(
         &mut self,
         _cx: CX![],
         call: ClaimCall,
         ret: Ret<Result<PeerAnswer, Error>>,
     ) {
-        let Route::Here(owner) = self.route(call.key) else {
-            ret.ret(Err(self.nowhere()));
+        let Route::Local(owner) = self.route(call.key) else {
+            ret.ret(Err(self.no_owner_error()));
             return;
         };
         let ret: ClaimRet = Ret::new(move |answer: Option<Result<_, _>>| {
-            let answer = answer.unwrap_or_else(|| Err(dropped()));
+            let answer = answer.unwrap_or_else(|| Err(owner_dropped_error()));
             ret.ret(answer.map(PeerAnswer::Claim));
         });
         call!([owner], claim(call, ret));
     }
 
-    /// A settlement from a peer, for a shard that this node should own.
+    /// Handles a settlement from a peer for a shard that this node should own.
     pub(crate) fn incoming_settle(
         &mut self,
         _cx: CX![],
         call: SettleCall,
         ret: Ret<Result<PeerAnswer, Error>>,
     ) {
-        let Route::Here(owner) = self.route(call.key) else {
-            ret.ret(Err(self.nowhere()));
+        let Route::Local(owner) = self.route(call.key) else {
+            ret.ret(Err(self.no_owner_error()));
             return;
         };
         let ret: SettleRet = Ret::new(move |answer: Option<Result<_, _>>| {
-            let answer = answer.unwrap_or_else(|| Err(dropped()));
+            let answer = answer.unwrap_or_else(|| Err(owner_dropped_error()));
             ret.ret(answer.map(|()| PeerAnswer::Settled));
         });
         call!([owner], settle(call, ret));
@@ -246,34 +243,34 @@
     }
 
     pub(crate) fn report(&mut self, _cx: CX![], ret: Ret<ClaimsReport>) {
-        let held = self.shards.iter().filter_map(|shard| shard.held.as_ref());
-        let owned = held.map(|held| held.report.borrow().clone()).collect();
+        let owned = self.shards.iter().filter_map(|shard| shard.owned.as_ref());
+        let owned = owned.map(|owned| owned.report.borrow().clone()).collect();
         let owners = self.shards.iter().filter(|shard| shard.owner.is_some());
         ret.ret(ClaimsReport {
             owned,
             known_owners: owners.count(),
             claims_waiting: self.pending.len(),
-            settlements_waiting: self.settling.len(),
-            settlements_dropped: self.settling.dropped(),
+            settlements_waiting: self.settlements.len(),
+            settlements_dropped: self.settlements.dropped(),
             given_up: self.pending.given_up(),
         });
     }
 
     pub(crate) fn print(&mut self, _cx: CX![], shard: ShardId, ret: Ret<String>) {
-        let held = self.shards.get(shard.index());
-        match held.and_then(|slot| slot.held.as_ref()) {
-            Some(held) => call!([held.actor], print(ret)),
+        let owned = self.shards.get(shard.index());
+        match owned.and_then(|slot| slot.owned.as_ref()) {
+            Some(owned) => call!([owned.actor], print(ret)),
             None => ret.ret(format!("{shard} is not owned here\n")),
         }
     }
 }
 
-/// For a `Ret` that was dropped: the owner ended before it answered.
-fn dropped() -> Error {
+/// Returns the error for a dropped `Ret`: the owner ended before it answered.
+fn owner_dropped_error() -> Error {
     Error::may_have_run(ErrorKind::Unavailable, "the shard's owner changed")
 }
 
-/// Turns the answer to [`PeerCall::Claim`] into that to a claim.
+/// Converts the answer to [`PeerCall::Claim`] into the answer to a claim.
 fn claim_answer(answer: Result<PeerAnswer, Error>) -> Result<bluebell_peers::ClaimAnswer, Error> {
     match answer? {
         PeerAnswer::Claim(answer) => Ok(answer),
@@ -284,7 +281,7 @@
     }
 }
 
-/// Turns the answer to [`PeerCall::Settle`] into that to a settlement.
+/// Converts the answer to [`PeerCall::Settle`] into the answer to a settlement.
 fn settle_answer(answer: Result<PeerAnswer, Error>) -> Result<(), Error> {
     match answer? {
         PeerAnswer::Settled => Ok(()),
--- a/crates/claims/src/verify/mod.rs
+++ b/crates/claims/src/verify/mod.rs
@@ -1,24 +1,24 @@
-//! Re-checks the invariants of a reduced shard; run by tests after each step.
+//! Checks the invariants of a reduced shard. Tests run it after each step.
 
 use crate::reduce::ShardState;
 use crate::table::seconds;
 use bluebell_base::prelude::*;
 use bluebell_peers::ClaimKey;
 
-/// A broken invariant.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum VerifyError {
-    /// An entry is newer than the newest record.
+    /// An entry is newer than the log's newest record.
     #[error("key {key} was claimed at second {claimed_s}, after the log's {log_ms}")]
-    FromTheFuture {
+    NewerThanLog {
         /// The key.
         key: ClaimKey,
-        /// When it was claimed.
+        /// The second in which the key was claimed.
         claimed_s: u32,
-        /// The newest record's time.
+        /// The append time of the newest record.
         log_ms: WallMs,
     },
-    /// An expired entry outlived the sweep that should have taken it.
+    /// An expired entry remained after the sweep that should have removed it.
     #[error("key {key} expired long ago and is still kept")]
     NotSwept {
         /// The key.
@@ -27,7 +27,7 @@
     /// Batches were applied without an epoch.
     #[error("batch {batch} was applied without an epoch")]
     NoEpoch {
-        /// The number of the last batch.
+        /// The number of the last applied batch.
         batch: u64,
     },
 }
@@ -43,7 +43,7 @@
     let longest_ms = state.validity_ms.mul_f64(1.25) + SpanMs(1000);
     for (key, entry) in state.table.iter() {
         if entry.claimed_s > newest_s {
-            return Err(VerifyError::FromTheFuture {
+            return Err(VerifyError::NewerThanLog {
                 key,
                 claimed_s: entry.claimed_s,
                 log_ms: state.log_ms,
--- a/crates/claims/tests/at_most_once/gate.rs
+++ b/crates/claims/tests/at_most_once/gate.rs
@@ -1,4 +1,4 @@
-//! The gate around a node, through which a test pauses and kills it.
+//! A gate around a node's messages, with which a test pauses and kills the node.
 
 use bluebell_base::prelude::*;
 use bluebell_peers::{PeerAnswer, PeerCall, PeerPort};
@@ -9,8 +9,8 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// Holds back what goes into and out of a paused node. Its timers fire meanwhile, as they would in
-/// one burst when a paused process wakes, before it reads what has arrived.
+/// Holds back the messages to and from a paused node. Its timers keep firing, as they would in one
+/// burst when a paused process resumes, before it reads the messages that have arrived.
 #[derive(Clone, Default)]
 pub struct Gate(Rc<RefCell<GateState>>);
 
@@ -24,17 +24,17 @@
 }
 
 impl Gate {
-    /// Ends the node: nothing passes any more.
+    /// Kills the node: all later messages are dropped.
     pub fn kill(&self) {
         self.0.borrow_mut().dead = true;
     }
 
-    /// Holds everything back from now on.
+    /// Holds back all messages from now on.
     pub fn pause(&self) {
         self.0.borrow_mut().paused = true;
     }
 
-    /// Lets everything pass again, what was held back first.
+    /// Passes the messages that were held back, and all later ones.
     pub fn resume(&self, core: &mut Core) {
         self.0.borrow_mut().paused = false;
         let held = std::mem::take(&mut self.0.borrow_mut().held);
--- a/crates/claims/tests/at_most_once/main.rs
+++ b/crates/claims/tests/at_most_once/main.rs
@@ -1,4 +1,5 @@
-//! At most one run per idempotency key, under faults, with production actors under virtual time.
+//! Tests that each idempotency key runs at most once under faults, with the production actors and
+//! virtual time.
 
 mod gate;
 mod log_faults;
--- a/crates/claims/tests/at_most_once/random.rs
+++ b/crates/claims/tests/at_most_once/random.rs
@@ -1,8 +1,8 @@
-//! Random runs: nodes die, pause and wake, shards change owners, log and net misbehave, callers
-//! retry through other nodes. A failing seed is printed; `CLAIMS_SEED=n` replays it alone and
-//! `CLAIMS_SEEDS=n` runs that many.
+//! Random runs: nodes die, pause and resume, shards change owners, the log and the network have
+//! faults, callers retry through other nodes. A failing seed is printed. `CLAIMS_SEED=n` replays
+//! one seed, and `CLAIMS_SEEDS=n` sets the number of seeds.
 
-use crate::rig::{Asked, Rig};
+use crate::rig::{Rig, TestClaim};
 use bluebell_base::prelude::*;
 use bluebell_peers::Settlement;
 use bluebell_peers::fakes::NetFaults;
@@ -13,14 +13,14 @@
 const SEEDS: u64 = 300;
 const STEPS: usize = 120;
 const NODES: usize = 4;
-const MOST_NODES: usize = 12;
+const MAX_NODES: usize = 12;
 const KEYS: u128 = 6;
 const SHARDS: u32 = 2;
 
 struct Run {
     rig: Rig,
     rng: ChaCha8Rng,
-    asked: Vec<(usize, u128, Asked)>,
+    claims: Vec<(usize, u128, TestClaim)>,
 }
 
 impl Run {
@@ -34,7 +34,7 @@
         Self {
             rig,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            asked: Vec::new(),
+            claims: Vec::new(),
         }
     }
 
@@ -49,7 +49,7 @@
 
     fn step(&mut self) {
         match self.rng.random_range(0..100) {
-            0..50 => self.ask(),
+            0..50 => self.claim(),
             50..60 => self.settle(),
             60..70 => self.change_owner(),
             70..76 => {
@@ -63,59 +63,59 @@
             84..87 => self.replace(),
             87..94 => self.log_fault(),
             94..98 => self.net_faults(),
-            _ => self.mend(),
+            _ => self.clear_faults(),
         }
         let longest_ms = if self.rng.random_bool(0.8) { 30 } else { 4000 };
         let span_ms = self.rng.random_range(0..longest_ms);
         self.rig.run_ms(span_ms);
     }
 
-    fn ask(&mut self) {
+    fn claim(&mut self) {
         let (node, key) = (self.node(), self.rng.random_range(0..KEYS));
-        let asked = self.rig.ask(node, key);
-        self.asked.push((node, key, asked));
+        let claim = self.rig.claim(node, key);
+        self.claims.push((node, key, claim));
     }
 
-    /// Settles a granted request: a few did not run.
+    /// Settles a granted request, as run or not run with equal probability.
     fn settle(&mut self) {
-        if self.asked.is_empty() {
+        if self.claims.is_empty() {
             return;
         }
-        let index = self.rng.random_range(0..self.asked.len());
-        let (node, key, asked) = &self.asked[index];
-        if asked.text() != "granted" || !self.rig.is_alive(*node) {
+        let index = self.rng.random_range(0..self.claims.len());
+        let (node, key, claim) = &self.claims[index];
+        if claim.text() != "granted" || !self.rig.is_alive(*node) {
             return;
         }
         let settlement = match self.rng.random_bool(0.5) {
             true => Settlement::NotRun,
             false => Settlement::Ran,
         };
-        let (node, key, request) = (*node, *key, asked.request);
-        self.asked.swap_remove(index);
+        let (node, key, request) = (*node, *key, claim.request);
+        self.claims.swap_remove(index);
         self.rig.settle(node, key, request, settlement);
     }
 
     fn change_owner(&mut self) {
         let (shard, node) = (self.rng.random_range(0..SHARDS), self.node());
         match self.rng.random_range(0..10) {
-            0 | 1 => self.rig.lose(shard, node),
+            0 | 1 => self.rig.revoke_shard(shard, node),
             2..5 => self.regain(shard),
-            _ => self.rig.give(shard, node),
+            _ => self.rig.assign_shard(shard, node),
         }
     }
 
-    /// The lease lapses and is renewed under the same number.
+    /// Lets a lease expire and renews it under the same fencing number.
     fn regain(&mut self, shard: u32) {
         for node in 0..self.rig.nodes.len() {
-            self.rig.lose(shard, node);
+            self.rig.revoke_shard(shard, node);
         }
         let span_ms = self.rng.random_range(0..50);
         self.rig.run_ms(span_ms);
-        self.rig.hold_again(shard);
+        self.rig.renew_lease(shard);
     }
 
     fn replace(&mut self) {
-        if self.rig.nodes.len() >= MOST_NODES {
+        if self.rig.nodes.len() >= MAX_NODES {
             return;
         }
         let node = self.node();
@@ -157,13 +157,13 @@
         });
     }
 
-    fn mend(&mut self) {
+    fn clear_faults(&mut self) {
         self.rig.model.borrow_mut().faults = Faults::default();
         self.rig.net.set_faults(NetFaults::default());
     }
 
-    /// A reader that begins anywhere must not take a key for free whose holder it can read, also
-    /// where it can't see the epoch record that fences out an earlier claim.
+    /// Checks that a reader that begins at any offset does not consider a key free if it can read
+    /// the holder's claim, even if it can't see the epoch record that fences out an earlier claim.
     fn check_suffixes(&mut self, shard: u32) -> Result<(), String> {
         let (first, end) = self.rig.retained(shard);
         let whole = self.rig.reduced(shard);
@@ -172,11 +172,11 @@
             let suffix = self.rig.reduced_from(shard, Offset(from));
             let readable = self.rig.grants_after(shard, Offset(from));
             for (key, entry) in whole.table().iter() {
-                let held = entry.held().is_some() && readable.contains(&(key, entry.request));
+                let held = entry.held_state().is_some() && readable.contains(&(key, entry.request));
                 let known = suffix
                     .table()
                     .get(key, suffix.log_ms(), SpanMs(u64::MAX))
-                    .is_some_and(|entry| entry.held().is_some());
+                    .is_some_and(|entry| entry.held_state().is_some());
                 if held && !known {
                     return Err(format!("from {from}: {key} {entry} looks free"));
                 }
@@ -185,9 +185,9 @@
         Ok(())
     }
 
-    /// Once all faults are over, every claim has its answer and every shard serves again.
+    /// Removes all faults and lets the nodes recover.
     fn finish(&mut self) {
-        self.mend();
+        self.clear_faults();
         for node in 0..self.rig.nodes.len() {
             if self.rig.is_alive(node) {
                 self.rig.resume(node);
@@ -195,7 +195,7 @@
         }
         for shard in 0..SHARDS {
             let node = self.node();
-            self.rig.give(shard, node);
+            self.rig.assign_shard(shard, node);
         }
         self.rig.run_ms(30_000);
     }
@@ -209,8 +209,8 @@
     }
     run.finish();
     run.rig.check()?;
-    for (node, key, asked) in &run.asked {
-        if run.rig.is_alive(*node) && asked.answer().is_none() {
+    for (node, key, claim) in &run.claims {
+        if run.rig.is_alive(*node) && claim.answer().is_none() {
             return Err(format!("node {node}, key {key}: no answer"));
         }
     }
@@ -221,7 +221,7 @@
         }
         run.check_suffixes(shard)?;
         let node = run.node();
-        let fresh = run.rig.ask_and_wait(node, 1000 + u128::from(shard));
+        let fresh = run.rig.claim_and_wait(node, 1000 + u128::from(shard));
         if fresh.text() != "granted" {
             return Err(format!("shard {shard} does not serve: {}", fresh.text()));
         }
--- a/crates/claims/tests/at_most_once/rig.rs
+++ b/crates/claims/tests/at_most_once/rig.rs
@@ -1,4 +1,4 @@
-//! Several nodes with production actors in one `Stakker`, on a fake log and a fake net.
+//! Several nodes with production actors in one `Stakker`, on a fake log and a fake network.
 
 use crate::gate::{Gate, GatedLog, GatedPeers};
 use bluebell_base::prelude::*;
@@ -30,15 +30,15 @@
     sequence: u64,
 }
 
-/// A claim under way: its answer, once there is one, and when it came.
+/// A claim with its answer and the time of the answer, once it has arrived.
 #[derive(Clone)]
-pub struct Asked {
+pub struct TestClaim {
     pub request: RequestId,
-    asked_ms: MonoMs,
+    started_ms: MonoMs,
     answer: Rc<RefCell<Option<(ClaimResult, MonoMs)>>>,
 }
 
-impl Asked {
+impl TestClaim {
     pub fn answer(&self) -> Option<ClaimResult> {
         self.answer
             .borrow()
@@ -46,13 +46,15 @@
             .map(|(answer, _)| answer.clone())
     }
 
-    /// How long the answer took.
-    pub fn took(&self) -> Option<SpanMs> {
+    /// Returns the time from the claim to its answer.
+    pub fn latency(&self) -> Option<SpanMs> {
         let answer = self.answer.borrow();
-        answer.as_ref().map(|(_, at_ms)| at_ms.since(self.asked_ms))
+        answer
+            .as_ref()
+            .map(|(_, at_ms)| at_ms.since(self.started_ms))
     }
 
-    /// The answer's text in short, for tables of cases.
+    /// Returns a short text of the answer, for tables of cases.
     pub fn text(&self) -> String {
         match self.answer() {
             None => "no answer".into(),
@@ -63,7 +65,7 @@
     }
 }
 
-/// A grant as the requester saw it.
+/// A grant as received by the requester.
 #[derive(Clone, Copy, Debug)]
 pub struct Grant {
     pub key: ClaimKey,
@@ -71,7 +73,7 @@
     pub at_ms: MonoMs,
 }
 
-/// A settlement as `NotRun`.
+/// A `NotRun` settlement.
 struct Freed {
     key: ClaimKey,
     request: RequestId,
@@ -95,7 +97,7 @@
     fencing: u64,
 }
 
-/// No lease ends by itself in these tests, unless a test says so.
+/// The end of leases that don't expire during a test.
 pub const FOR_EVER_MS: MonoMs = MonoMs(u64::MAX / 4);
 
 impl Rig {
@@ -142,7 +144,7 @@
         rig
     }
 
-    /// Starts one more node; returns its index.
+    /// Starts another node and returns its index.
     pub fn start(&mut self) -> usize {
         let index = self.nodes.len();
         let address = Address::from(format!("10.0.0.{index}:1").as_str());
@@ -200,8 +202,8 @@
         self.run_ms(0);
     }
 
-    /// Gives a shard to a node under a new fencing number; all live nodes hear of it.
-    pub fn give(&mut self, shard: u32, to: usize) {
+    /// Assigns a shard to a node under a new fencing number and notifies all live nodes.
+    pub fn assign_shard(&mut self, shard: u32, to: usize) {
         self.fencing += 1;
         let owner = ShardOwner {
             shard: ShardId(shard),
@@ -228,18 +230,18 @@
         self.run_ms(0);
     }
 
-    /// Lets the last holder's lease of a shard end after a while, unless it is renewed.
-    pub fn hold_for_ms(&mut self, shard: u32, span_ms: u64) {
+    /// Sets the lease of a shard's last holder to end after `span_ms`.
+    pub fn renew_lease_for_ms(&mut self, shard: u32, span_ms: u64) {
         let until_ms = self.now_ms() + SpanMs(span_ms);
-        self.hold(shard, until_ms);
+        self.renew_lease_until(shard, until_ms);
     }
 
-    /// Tells the last holder of a shard that it holds it again, under the same fencing number.
-    pub fn hold_again(&mut self, shard: u32) {
-        self.hold(shard, FOR_EVER_MS);
+    /// Renews the lease of a shard's last holder under the same fencing number.
+    pub fn renew_lease(&mut self, shard: u32) {
+        self.renew_lease_until(shard, FOR_EVER_MS);
     }
 
-    fn hold(&mut self, shard: u32, until_ms: MonoMs) {
+    fn renew_lease_until(&mut self, shard: u32, until_ms: MonoMs) {
         let Some(&(node, fencing)) = self.leases.get(&shard) else {
             return;
         };
@@ -252,8 +254,8 @@
         self.run_ms(0);
     }
 
-    /// Tells a node that it lost a shard.
-    pub fn lose(&mut self, shard: u32, node: usize) {
+    /// Reports to a node that it lost a shard.
+    pub fn revoke_shard(&mut self, shard: u32, node: usize) {
         let node = &self.nodes[node];
         if let Some(claims) = node.claims.clone() {
             node.gate.pass(&mut self.stakker, move |core| {
@@ -273,15 +275,15 @@
     }
 
     /// Claims a key for a new request of a node.
-    pub fn ask(&mut self, node: usize, key: u128) -> Asked {
+    pub fn claim(&mut self, node: usize, key: u128) -> TestClaim {
         let request = self.new_request(node);
-        self.ask_as(node, key, request)
+        self.claim_as(node, key, request)
     }
 
-    pub fn ask_as(&mut self, node: usize, key: u128, request: RequestId) -> Asked {
-        let asked = Asked {
+    pub fn claim_as(&mut self, node: usize, key: u128, request: RequestId) -> TestClaim {
+        let claim = TestClaim {
             request,
-            asked_ms: self.now_ms(),
+            started_ms: self.now_ms(),
             answer: Rc::default(),
         };
         let key = ClaimKey(key);
@@ -290,7 +292,7 @@
             fingerprint: 7,
             request,
         };
-        let (slot, timers) = (Rc::clone(&asked.answer), self.timers.clone());
+        let (slot, timers) = (Rc::clone(&claim.answer), self.timers.clone());
         let (grants, deferrer) = (Rc::clone(&self.grants), self.stakker.deferrer());
         let ret = Ret::new(move |answer: Option<ClaimResult>| {
             let Some(answer) = answer else { return };
@@ -308,13 +310,13 @@
         });
         let node = &self.nodes[node];
         let Some(claims) = node.claims.clone() else {
-            return asked;
+            return claim;
         };
         let ret = node.gate.wrap(&mut self.stakker, ret);
         node.gate.pass(&mut self.stakker, move |core| {
             claims.claim(core, call, ret);
         });
-        asked
+        claim
     }
 
     pub fn settle(&mut self, node: usize, key: u128, request: RequestId, settlement: Settlement) {
@@ -340,7 +342,7 @@
         }
     }
 
-    /// Lets the virtual time pass, event by event.
+    /// Advances the virtual time, event by event.
     pub fn run_ms(&mut self, span_ms: u64) {
         let end = self.now + Duration::from_millis(span_ms);
         self.stakker.run(self.now, false);
@@ -352,29 +354,29 @@
         self.stakker.run(self.now, false);
     }
 
-    /// Claims and waits for the answer.
-    pub fn ask_and_wait(&mut self, node: usize, key: u128) -> Asked {
-        let asked = self.ask(node, key);
+    /// Claims a key and advances the time by 3 s for the answer.
+    pub fn claim_and_wait(&mut self, node: usize, key: u128) -> TestClaim {
+        let claim = self.claim(node, key);
         self.run_ms(3000);
-        asked
+        claim
     }
 
     pub fn report(&mut self, node: usize) -> ClaimsReport {
         let slot: Rc<RefCell<Option<ClaimsReport>>> = Rc::default();
-        let taken = Rc::clone(&slot);
+        let reported = Rc::clone(&slot);
         let claims = self.nodes[node].claims.clone().expect("alive");
-        let ret = Ret::new(move |report| *taken.borrow_mut() = report);
+        let ret = Ret::new(move |report| *reported.borrow_mut() = report);
         claims.report(&mut self.stakker, ret);
         self.run_ms(0);
         slot.take().expect("reported")
     }
 
-    /// What a fresh reader of a shard's stream makes of it, checked.
+    /// Reduces a shard's stream from its beginning and checks the invariants.
     pub fn reduced(&self, shard: u32) -> ShardState {
         self.reduced_from(shard, Offset(0))
     }
 
-    /// The same for a reader that begins at an offset.
+    /// Reduces a shard's stream from an offset and checks the invariants.
     pub fn reduced_from(&self, shard: u32, from: Offset) -> ShardState {
         let stream = StreamName::from(format!("claims-{shard}").as_str());
         let mut state = ShardState::new(self.settings.validity_ms);
@@ -394,7 +396,7 @@
         }
     }
 
-    /// The invariant: a key is granted to a second request only after the first one was settled
+    /// Checks that a key was granted to a second request only after the first one was settled
     /// `NotRun`, or after the key's validity.
     pub fn check(&self) -> Result<(), String> {
         let grants = self.grants.borrow();
@@ -410,7 +412,7 @@
         Ok(())
     }
 
-    /// Where a shard's records begin and end.
+    /// Returns the first retained offset and the end of a shard's stream.
     pub fn retained(&self, shard: u32) -> (u64, u64) {
         let stream = StreamName::from(format!("claims-{shard}").as_str());
         let now_ms = WallMs(self.now_ms().0);
@@ -419,7 +421,7 @@
         (batch.first_retained.0, batch.end.0)
     }
 
-    /// The claims that took effect in a record from `from` on, in the eyes of a whole reader.
+    /// Returns the claims of records at `from` and later that a reader of the whole stream grants.
     pub fn grants_after(&self, shard: u32, from: Offset) -> Vec<(ClaimKey, RequestId)> {
         let mut state = ShardState::new(self.settings.validity_ms);
         let stream = StreamName::from(format!("claims-{shard}").as_str());
--- a/crates/claims/tests/reduce.rs
+++ b/crates/claims/tests/reduce.rs
@@ -1,4 +1,4 @@
-//! The reduction alone: epochs, copies, readers that begin late, records of other versions.
+//! The reduction: epochs, duplicates, readers that begin late, records of other versions.
 
 use bluebell_base::prelude::*;
 use bluebell_claims::records::{BatchRecord, EpochRecord, Record, encode};
@@ -46,7 +46,7 @@
     }))
 }
 
-/// Reads records appended a second apart, from one of them on.
+/// Reduces records that were appended a second apart, beginning at index `from`.
 fn read(records: &[Arc<str>], from: usize) -> ShardState {
     let mut state = ShardState::new(VALIDITY_MS);
     state.skip_to(Offset(from as u64));
@@ -86,9 +86,9 @@
     .assert_eq(&read(&records, 0).to_string());
 }
 
-/// The log stores a batch a second time, much later. The key was since freed by its first request,
-/// claimed and freed by a second one. The copy must not hold it for the first, which is over: the
-/// caller's next try would be told "may have run".
+/// The log stores a batch a second time, much later. Meanwhile the first request freed the key, and
+/// a second one claimed and freed it. The duplicate must not make the first request the holder
+/// again, since the caller's next attempt would get "may have run".
 #[test]
 fn a_late_copy_of_a_batch_changes_nothing() {
     let records = [
@@ -105,10 +105,10 @@
     .assert_eq(&read(&records, 0).to_string());
 }
 
-/// A widow's notice was granted to request 2 by epoch 6 and may have run. A batch of epoch 5, from
-/// an owner paused for long, landed before it and was fenced out; the epoch record that fences it
-/// has expired from the log when the next owner reads. That owner must not free the key when
-/// request 1 of the fenced batch is settled as not run.
+/// Request 2 was granted the key in epoch 6 and may have run. A batch of epoch 5, from an owner that
+/// was paused for long, was appended before it and fenced out. The epoch record that fences it has
+/// expired from the log when the next owner reads. That owner must not free the key when request 1
+/// of the fenced batch is settled as not run.
 #[test]
 fn a_reader_without_the_epoch_record_frees_nothing() {
     let records = [
@@ -141,7 +141,7 @@
     assert_eq!(state.counts().contested, 0);
 }
 
-/// A node of a newer version writes fields and kinds of record that this one does not know.
+/// A node of a newer version writes fields and kinds of records that this version does not know.
 #[test]
 fn records_of_a_newer_version() {
     let newer_field = batch(5, 1, &[], &[(1, 1)]).replace("{\"k\"", "{\"z\":[1],\"k\"");
@@ -164,7 +164,7 @@
         (0..5u64).prop_map(epoch),
         (0..5u64, 0..6u64, ops(), ops()).prop_map(|(e, n, s, c)| batch(e, n, &s, &c)),
         ".{0,40}".prop_map(|text| text.as_str().into()),
-        // A record cut or changed somewhere.
+        // A record with one character replaced or appended.
         (0..200usize, any::<char>()).prop_map(|(at, c)| {
             let text = batch(5, 1, &[(1, 1)], &[(2, 2)]);
             let kept = text.chars().take(at).chain([c]);
--- a/crates/claims/tests/settings.rs
+++ b/crates/claims/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The check of the settings, and how keys spread over shards.
+//! The validation of the settings, and the assignment of keys to shards.
 
 use bluebell_base::prelude::*;
 use bluebell_claims::{ClaimSettings, SettingsError, shard_of};
@@ -18,18 +18,18 @@
 }
 
 #[test]
-fn settings_without_room_are_refused() {
+fn limits_of_zero_are_refused() {
     let day_ms = SpanMs(24 * HOUR_MS);
     let no_shards = ClaimSettings {
         shards: 0,
         ..ClaimSettings::default()
     };
     assert_eq!(no_shards.check(day_ms), Err(SettingsError::NoShards));
-    let no_room = ClaimSettings {
+    let zero_limit = ClaimSettings {
         batch_ops: 0,
         ..ClaimSettings::default()
     };
-    assert_eq!(no_room.check(day_ms), Err(SettingsError::ZeroLimit));
+    assert_eq!(zero_limit.check(day_ms), Err(SettingsError::ZeroLimit));
 }
 
 #[test]
