--- a/crates/members/src/actor/listing_side.rs
+++ b/crates/members/src/actor/listing_side.rs
@@ -1,5 +1,5 @@
-//! Fetching the list: once at the start, all the time while this node holds the duty, and now and
-//! then while the directory stream is stale.
+//! Fetches the list: once at the start, regularly while this node holds the duty, and less often
+//! while the directory stream is stale.
 
 use super::Members;
 use super::directory_side::Directory;
@@ -12,42 +12,42 @@
 use rand_chacha::ChaCha8Rng;
 use stakker::{CX, Cx, ret_to};
 
-/// How long a fetch may stay unanswered before another is made.
-const ANSWER_MS: SpanMs = SpanMs::from_secs(10);
+/// The time after which a fetch without an answer is repeated.
+const FETCH_TIMEOUT_MS: SpanMs = SpanMs::from_secs(10);
 
-/// How long before a fetch nothing is written that could wait.
-const BEFORE_FETCH_MS: SpanMs = SpanMs::from_secs(2);
+/// The time before a fetch in which no beat is written.
+const QUIET_BEFORE_FETCH_MS: SpanMs = SpanMs::from_secs(2);
 
-/// The time between fetches until the first one has succeeded.
-const FIRST_MS: SpanMs = SpanMs(1_000);
+/// The mean interval between fetches until the first one has succeeded.
+const FIRST_FETCH_RETRY_MS: SpanMs = SpanMs(1_000);
 
-/// What is known of the list's sources.
+/// The state of fetching the list.
 pub(super) struct ListingSide {
-    /// Whether the list was ever known whole, by a fetch or a full record set.
+    /// True once the whole list was known, from a fetch or a full record set.
     pub(super) complete: bool,
-    asked_ms: Option<MonoMs>,
+    fetch_started_ms: Option<MonoMs>,
     next_ms: MonoMs,
     size_bytes: Bytes,
-    fetched: Option<Fetched>,
+    last_fetch: Option<LastFetch>,
     pub(super) duty: Option<Duty>,
     pub(super) directory: Directory,
 }
 
 /// The last fetch that succeeded.
 #[derive(Clone, Copy, Debug)]
-struct Fetched {
+struct LastFetch {
     at_ms: MonoMs,
-    /// How long the next fetch waits from then at most.
+    /// The time from then until the next fetch is due.
     wait_ms: SpanMs,
 }
 
-/// The duty to write the directory.
+/// The duty to write the directory stream.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Duty {
     pub(super) fencing: Fencing,
     pub(super) until_ms: MonoMs,
-    /// Whether a full record set under this fencing number was read back.
-    pub(super) opened: bool,
+    /// True if a full record set with this fencing number was read back.
+    pub(super) full_list_written: bool,
 }
 
 impl ListingSide {
@@ -61,10 +61,10 @@
         let now_ms = timers.now_ms(cx);
         Self {
             complete: false,
-            asked_ms: None,
+            fetch_started_ms: None,
             next_ms: now_ms,
             size_bytes: Bytes::ZERO,
-            fetched: None,
+            last_fetch: None,
             duty: None,
             directory: Directory::open(cx, ports, timers, settings, random),
         }
@@ -78,16 +78,16 @@
         self.directory.reducer.ignored()
     }
 
-    /// Whether the stream is read from its beginning for want of a list; entries that come and
-    /// go on the way are not announced.
+    /// Returns true while the stream is read from its beginning because no list is available.
+    /// Entries that appear and vanish meanwhile are not announced.
     pub(super) fn is_replaying(&self) -> bool {
         self.directory.replaying
     }
 
-    /// Whether a fetch is under way or comes so soon that a record written now may not be read
-    /// back by then, and would hold up that of the fetch's changes.
-    pub(super) fn fetches_soon(&self, now_ms: MonoMs) -> bool {
-        self.asked_ms.is_some() || now_ms + BEFORE_FETCH_MS >= self.next_ms
+    /// Returns true if a fetch is under way, or due so soon that a record written now may not be read
+    /// back by then and would delay the record of the fetch's changes.
+    pub(super) fn is_fetch_near(&self, now_ms: MonoMs) -> bool {
+        self.fetch_started_ms.is_some() || now_ms + QUIET_BEFORE_FETCH_MS >= self.next_ms
     }
 
     /// Makes the next fetch due at `at_ms` at the latest.
@@ -96,7 +96,7 @@
     }
 }
 
-/// The size of a list as JSON, near enough.
+/// Returns the approximate size of a list as JSON.
 fn size_of(entries: &[VmEntry]) -> Bytes {
     let size =
         |entry: &VmEntry| serde_json::to_string(entry).map_or(0, |text| text.len() as u64 + 1);
@@ -106,11 +106,11 @@
 impl Members {
     pub(super) fn hold_duty(&mut self, cx: CX![], fencing: Fencing, until_ms: MonoMs) {
         let before = self.list_side.duty.filter(|duty| duty.fencing == fencing);
-        let opened = before.is_some_and(|duty| duty.opened);
+        let full_list_written = before.is_some_and(|duty| duty.full_list_written);
         self.list_side.duty = Some(Duty {
             fencing,
             until_ms,
-            opened,
+            full_list_written,
         });
         if before.is_none() {
             let now_ms = self.timers.now_ms(cx);
@@ -127,72 +127,76 @@
         duty.is_some_and(|duty| now_ms < duty.until_ms)
     }
 
-    /// Whether the list was fetched so lately that this node may speak for it.
-    pub(super) fn speaks_for_list(&self, now_ms: MonoMs) -> bool {
-        let fetched = self.list_side.fetched;
-        let until_ms = |fetched: Fetched| fetched.at_ms + fetched.wait_ms + self.settings.stale_ms;
+    /// Returns true if the list was fetched recently enough for this node to report that it is
+    /// current.
+    pub(super) fn has_recent_list(&self, now_ms: MonoMs) -> bool {
+        let fetched = self.list_side.last_fetch;
+        let until_ms =
+            |fetched: LastFetch| fetched.at_ms + fetched.wait_ms + self.settings.stale_ms;
         fetched.is_some_and(|fetched| now_ms < until_ms(fetched))
     }
 
     pub(super) fn tick_listing(&mut self, cx: CX![], now_ms: MonoMs) {
         self.tick_directory(cx, now_ms);
-        let waiting = self.list_side.asked_ms;
-        let waiting = waiting.is_some_and(|at_ms| now_ms.since(at_ms) < ANSWER_MS);
+        let waiting = self.list_side.fetch_started_ms;
+        let waiting = waiting.is_some_and(|at_ms| now_ms.since(at_ms) < FETCH_TIMEOUT_MS);
         let wanted = !self.list_side.complete
             || self.writes_directory(now_ms)
             || self.is_stale(now_ms)
-            || self.list_side.directory.differs;
+            || self.list_side.directory.digest_differs;
         if waiting || !wanted || now_ms < self.list_side.next_ms || self.awaits_end(now_ms) {
             return;
         }
-        self.list_side.asked_ms = Some(now_ms);
+        self.list_side.fetch_started_ms = Some(now_ms);
         let ret = ret_to!([cx], on_list() as (Result<Vec<VmEntry>, Error>));
         self.ports.list.list(cx, ret);
     }
 
     fn on_list(&mut self, cx: CX![], answer: Option<Result<Vec<VmEntry>, Error>>) {
         let now_ms = self.timers.now_ms(cx);
-        self.list_side.asked_ms = None;
+        self.list_side.fetch_started_ms = None;
         let fetched = answer.and_then(Result::ok);
         if let Some(fetched) = &fetched {
             self.list_side.size_bytes = size_of(fetched);
-            self.take_list(cx, fetched, now_ms);
+            self.on_fetched_list(cx, fetched, now_ms);
         }
         let interval_ms = match () {
-            () if !self.list_side.complete => FIRST_MS,
+            () if !self.list_side.complete => FIRST_FETCH_RETRY_MS,
             () if self.writes_directory(now_ms) => self.settings.writer_poll_ms,
-            () => self.settings.own_poll_ms,
+            () => self.settings.fallback_poll_ms,
         };
-        // The list comes whole each time; at thousands of VMs a fetch each second would cost the
-        // writer a hundred times what a node may spend on control. Leaving upstreams are told of
-        // by their refusals meanwhile.
+        // Each fetch returns the whole list. With thousands of VMs a fetch per second would cost the
+        // writer a hundred times what a node may spend on control. Between fetches, refusals report
+        // the upstreams that are leaving.
         let paced_ms = self.list_side.size_bytes.0 as f64 / self.settings.list_bytes.0 * 1000.0;
         let interval_ms = interval_ms.max(SpanMs(paced_ms as u64));
-        let wait_ms = self.vary(interval_ms);
+        let wait_ms = self.jitter(interval_ms);
         self.list_side.next_ms = now_ms + wait_ms;
         if fetched.is_some() {
             let at_ms = now_ms;
-            self.list_side.fetched = Some(Fetched { at_ms, wait_ms });
+            self.list_side.last_fetch = Some(LastFetch { at_ms, wait_ms });
         }
     }
 
-    /// A time between half and one and a half of `span_ms`, so that nodes that began together
-    /// don't go on fetching together.
-    pub(super) fn vary(&mut self, span_ms: SpanMs) -> SpanMs {
+    /// Returns a random time from 0.5 to 1.5 times `span_ms`, so that nodes that started together
+    /// don't keep fetching together.
+    pub(super) fn jitter(&mut self, span_ms: SpanMs) -> SpanMs {
         let (low_ms, high_ms) = (span_ms.0 / 2, span_ms.0 + span_ms.0 / 2);
         SpanMs(self.random.random_range(low_ms..=high_ms))
     }
 
-    /// The writer writes what the list changes and applies it when it reads it back, as all do;
-    /// everyone else applies it at once.
-    fn take_list(&mut self, cx: CX![], fetched: &[VmEntry], now_ms: MonoMs) {
+    /// Handles a fetched list. The writer writes the changes and applies them when it reads them
+    /// back, as all nodes do. Other nodes, and the writer at its first list, apply them at once.
+    fn on_fetched_list(&mut self, cx: CX![], fetched: &[VmEntry], now_ms: MonoMs) {
         let first = !self.list_side.complete;
-        let changes = self.listing.compare(fetched, self.settings.confirmations);
+        let changes = self
+            .listing
+            .compare(fetched, self.settings.absence_confirmations);
         if self.writes_directory(now_ms) && !first {
             return self.write_changes(cx, changes, now_ms);
         }
         self.list_side.complete = true;
-        self.list_side.directory.differs = false;
+        self.list_side.directory.digest_differs = false;
         self.apply_changes(&changes, now_ms);
         self.end_replay(now_ms);
     }
@@ -233,7 +237,7 @@
         left.is_some_and(|left| self.nodes.on_unlisted(&left))
     }
 
-    /// Announces everything once the list is known whole.
+    /// Ends a replay and announces all entries, once the whole list is known.
     pub(super) fn end_replay(&mut self, now_ms: MonoMs) {
         if !std::mem::take(&mut self.list_side.directory.replaying) {
             return;
--- a/crates/members/src/actor/mod.rs
+++ b/crates/members/src/actor/mod.rs
@@ -1,18 +1,18 @@
 //! The membership actor of a node.
 //!
-//! Terms: an upstream's *effective state* joins the list's word with the upstream's own refusals;
-//! *news* is a refusal that this node did not know of.
+//! Terms: an upstream's *effective state* combines its state in the list with its own refusals; a
+//! *new* refusal is one that this node did not know of.
 //!
-//! Invariants: an upstream that leaves by either source is announced as leaving; events are sent
-//! only for changes of the effective state.
+//! Invariants: an upstream that is leaving by either source is announced as leaving; events are
+//! sent only for changes of the effective state.
 
 mod directory_side;
 mod listing_side;
 mod probe_side;
 
-use crate::evidence::Evidence;
 use crate::listing::Listing;
 use crate::nodes::Nodes;
+use crate::refusals::Refusals;
 use crate::settings::{MembersPorts, MembersSettings};
 use crate::{MemberEvent, MembersDump};
 use bluebell_base::prelude::*;
@@ -26,7 +26,7 @@
 use stakker::{ActorOwn, CX, Core, Fwd, Ret, actor, fwd_to, ret_nop};
 use std::collections::BTreeMap;
 
-/// The time between two looks at what is due.
+/// The interval of the timer that starts due fetches, writes and probes.
 const TICK_MS: SpanMs = SpanMs(200);
 
 /// The membership actor; see [`Members::spawn`].
@@ -38,7 +38,7 @@
     events: Fwd<MemberEvent>,
     random: ChaCha8Rng,
     listing: Listing,
-    evidence: Evidence,
+    refusals: Refusals,
     nodes: Nodes,
     announced: BTreeMap<UpstreamName, VmEntry>,
     list_side: ListingSide,
@@ -47,7 +47,7 @@
 }
 
 impl Members {
-    /// Spawns the actor; it fetches the list at once and tells changes through `events`.
+    /// Spawns the actor. It fetches the list at once and reports changes through `events`.
     pub fn spawn(
         core: &mut Core,
         card: NodeCard,
@@ -82,7 +82,7 @@
         let mut random = generator(seed, card.incarnation);
         let list_side = ListingSide::open(cx, &ports, &timers, &settings, &mut random);
         let mut members = Self {
-            evidence: Evidence::new(settings.refusal_ms),
+            refusals: Refusals::new(settings.refusal_ms),
             card,
             ports,
             settings,
@@ -101,16 +101,16 @@
         Some(members)
     }
 
-    /// An upstream refused this node's work because it leaves.
+    /// Handles an upstream's refusal of this node's work because it is leaving.
     pub fn upstream_refused(&mut self, cx: CX![], name: UpstreamName) {
         let now_ms = self.timers.now_ms(cx);
-        if self.evidence.on_refusal(&name, now_ms) {
+        if self.refusals.on_refusal(&name, now_ms) {
             self.announce(&name, now_ms);
-            self.spread_news(cx, now_ms);
+            self.notify_random_peers(cx, now_ms);
         }
     }
 
-    /// A peer probes this node.
+    /// Answers a peer's probe and processes its content.
     pub fn on_probe(
         &mut self,
         cx: CX![],
@@ -121,41 +121,42 @@
         let now_ms = self.timers.now_ms(cx);
         ret.ret(PeerAnswer::Probe {
             card: self.card.clone(),
-            leaving: self.evidence.to_tell(now_ms),
+            leaving: self.refusals.names_for_peers(now_ms),
         });
-        self.hear(cx, &card, &leaving);
+        self.on_peer_state(cx, &card, &leaving);
     }
 
-    /// The configuration in force here changed; told to peers in this node's card.
+    /// Sets the version of the configuration in force, which this node's card reports to peers.
     pub fn config_changed(&mut self, _cx: CX![], version: ConfigVersion) {
         self.card.config = version;
     }
 
-    /// This node begins to stop; peers are told at once.
+    /// Marks this node as stopping and notifies peers at once.
     pub fn leave(&mut self, cx: CX![]) {
         self.card.leaving = true;
         let now_ms = self.timers.now_ms(cx);
-        self.spread_news(cx, now_ms);
+        self.notify_random_peers(cx, now_ms);
     }
 
-    /// This node writes the directory stream from now on, under `fencing`, until `until_ms`.
+    /// Starts or extends this node's duty to write the directory stream with the fencing number
+    /// `fencing`, until `until_ms`.
     pub fn duty_held(&mut self, cx: CX![], fencing: Fencing, until_ms: MonoMs) {
         self.hold_duty(cx, fencing, until_ms);
     }
 
-    /// This node no longer writes the directory stream.
+    /// Ends this node's duty to write the directory stream.
     pub fn duty_lost(&mut self, _cx: CX![]) {
         self.drop_duty();
     }
 
-    /// What this node knows of the fleet.
+    /// Reports the state of membership on this node.
     pub fn dump(&mut self, cx: CX![], ret: Ret<MembersDump>) {
         let now_ms = self.timers.now_ms(cx);
         ret.ret(MembersDump {
             card: self.card.clone(),
             nodes: self.nodes.live(),
             listed: self.listing.entries().cloned().collect(),
-            refused: self.evidence.to_tell(now_ms),
+            refused: self.refusals.names_for_peers(now_ms),
             writes_directory: self.writes_directory(now_ms),
             directory_stale: self.is_stale(now_ms),
             skipped_records: self.list_side.skipped(),
@@ -164,7 +165,7 @@
     }
 
     fn tick(&mut self, cx: CX![], now_ms: MonoMs) {
-        for name in self.evidence.expire(self.ticked_ms, now_ms) {
+        for name in self.refusals.expire(self.ticked_ms, now_ms) {
             self.announce(&name, now_ms);
         }
         self.ticked_ms = now_ms;
@@ -174,7 +175,7 @@
         self.timers.subscribe_in(cx, TICK_MS, again);
     }
 
-    /// Tells the effective state of an upstream, if it changed.
+    /// Announces the effective state of an upstream if it changed.
     fn announce(&mut self, name: &UpstreamName, now_ms: MonoMs) {
         if self.list_side.is_replaying() {
             return;
@@ -187,7 +188,7 @@
             }
             return;
         };
-        if self.evidence.counts(name, now_ms) {
+        if self.refusals.is_leaving(name, now_ms) {
             entry.state = VmState::Leaving;
         }
         let before = self.announced.insert(name.clone(), entry.clone());
@@ -205,8 +206,9 @@
     }
 }
 
-/// The generator of one process. The incarnation goes in beside the seed: two nodes that were
-/// given one seed would draw the same operation ids, and take each other's records for their own.
+/// Creates the random generator of a process from the seed and the incarnation. With the seed alone,
+/// two nodes with the same seed would draw the same operation ids and treat each other's records as
+/// their own.
 fn generator(seed: u64, incarnation: Incarnation) -> ChaCha8Rng {
     let mut bytes = <ChaCha8Rng as SeedableRng>::Seed::default();
     bytes[..8].copy_from_slice(&seed.to_le_bytes());
--- a/crates/members/src/actor/probe_side.rs
+++ b/crates/members/src/actor/probe_side.rs
@@ -1,9 +1,9 @@
-//! Probes: one peer at a time, in random order, and at once where there is news.
+//! Probes peers one at a time in random order, and a few at once when a refusal is new.
 //!
-//! Each node sends and gets one probe a second on average, however many nodes there are, so the
-//! cost of a node does not grow with the fleet. News goes to a few random peers at once and each
-//! of them passes it on, which reaches a fleet of hundreds in a handful of round trips; the
-//! steady probes bring it to those that the spreading missed.
+//! Each node sends and receives one probe per second on average, regardless of the number of nodes,
+//! so the cost of a node does not grow with the fleet. A new refusal is sent to a few random peers at
+//! once, and each of them does the same. This reaches a fleet of hundreds of nodes in a handful of
+//! round trips. The periodic probes reach the remaining nodes.
 
 use super::Members;
 use crate::MemberEvent;
@@ -13,19 +13,20 @@
 use rand::seq::{IndexedRandom, SliceRandom};
 use stakker::{CX, ret_to};
 
-/// How long a node is fresh and probes those it never heard faster than usual.
-const FRESH_MS: SpanMs = SpanMs::from_secs(60);
+/// The time after its start during which a node probes peers that it hasn't contacted yet at a higher
+/// rate.
+const STARTUP_MS: SpanMs = SpanMs::from_secs(60);
 
-/// Probes of unheard peers a fresh node sends on each tick.
-const FRESH_PROBES: usize = 2;
+/// The number of uncontacted peers that a starting node probes on each tick.
+const STARTUP_PROBES_PER_TICK: usize = 2;
 
-/// The state of probing.
+/// The state of the probes.
 #[derive(Clone, Debug)]
 pub(super) struct ProbeSide {
     started_ms: MonoMs,
     next_ms: MonoMs,
     retry: Vec<Address>,
-    /// Peers still to be probed in this round, in random order.
+    /// The peers that remain in this round, in random order.
     round: Vec<Address>,
 }
 
@@ -46,8 +47,8 @@
 
 impl Members {
     pub(super) fn tick_probes(&mut self, cx: CX![], now_ms: MonoMs) {
-        if now_ms.since(self.probes.started_ms) < FRESH_MS {
-            self.probe_unheard(cx, now_ms);
+        if now_ms.since(self.probes.started_ms) < STARTUP_MS {
+            self.probe_uncontacted(cx, now_ms);
         }
         if now_ms < self.probes.next_ms {
             return;
@@ -57,17 +58,18 @@
             .random
             .random_range(probe_ms / 2..=probe_ms + probe_ms / 2);
         self.probes.next_ms = now_ms + SpanMs(wait_ms);
-        // A peer that just failed is asked again before another, so that a dead one is suspected
-        // within seconds and a lost answer is soon made good.
+        // A peer whose last probe failed is probed again before others, so that a dead peer is
+        // suspected within seconds and a lost answer has no lasting effect.
         let to = self.probes.retry.pop().or_else(|| self.next_of_round());
         if let Some(to) = to {
             self.probe(cx, &to, now_ms);
         }
     }
 
-    /// The next peer of a round that goes through all of them, in a new order each time.
+    /// Returns the next peer of a round. A round covers all peers once, in a new random order.
     ///
-    /// Drawn at random each time, a given peer might not be probed for many times the mean.
+    /// With an independent random choice each time, a given peer might not be probed for many times
+    /// the mean interval.
     fn next_of_round(&mut self) -> Option<Address> {
         if self.probes.round.is_empty() {
             self.probes.round = self.nodes.addresses();
@@ -76,10 +78,10 @@
         self.probes.round.pop()
     }
 
-    fn probe_unheard(&mut self, cx: CX![], now_ms: MonoMs) {
-        let unheard = self.nodes.unheard();
-        let chosen: Vec<Address> = unheard
-            .choose_multiple(&mut self.random, FRESH_PROBES)
+    fn probe_uncontacted(&mut self, cx: CX![], now_ms: MonoMs) {
+        let uncontacted = self.nodes.uncontacted();
+        let chosen: Vec<Address> = uncontacted
+            .choose_multiple(&mut self.random, STARTUP_PROBES_PER_TICK)
             .cloned()
             .collect();
         for to in chosen {
@@ -87,8 +89,8 @@
         }
     }
 
-    /// Tells a few random peers at once.
-    pub(super) fn spread_news(&mut self, cx: CX![], now_ms: MonoMs) {
+    /// Probes `news_fanout` random live peers at once, so that they receive the new state.
+    pub(super) fn notify_random_peers(&mut self, cx: CX![], now_ms: MonoMs) {
         let live = self.nodes.live_addresses();
         let chosen: Vec<Address> = live
             .choose_multiple(&mut self.random, self.settings.news_fanout)
@@ -102,7 +104,7 @@
     fn probe(&mut self, cx: CX![], to: &Address, now_ms: MonoMs) {
         let call = PeerCall::Probe {
             card: self.card.clone(),
-            leaving: self.evidence.to_tell(now_ms),
+            leaving: self.refusals.names_for_peers(now_ms),
         };
         let ret = ret_to!(
             [cx],
@@ -115,15 +117,15 @@
         &mut self,
         cx: CX![],
         to: Address,
-        asked_ms: MonoMs,
+        sent_ms: MonoMs,
         answer: Option<Result<PeerAnswer, Error>>,
     ) {
         match answer {
             Some(Ok(PeerAnswer::Probe { card, leaving })) => {
-                self.hear(cx, &card, &leaving);
+                self.on_peer_state(cx, &card, &leaving);
                 let now_ms = self.timers.now_ms(cx);
                 if card.address == to
-                    && let Some(dead) = self.nodes.on_answer(&card, asked_ms, now_ms)
+                    && let Some(dead) = self.nodes.on_answer(&card, sent_ms, now_ms)
                 {
                     self.events.fwd(MemberEvent::NodeReplaced { dead });
                 }
@@ -136,26 +138,26 @@
         if self.nodes.on_failure(to) {
             self.announce_nodes();
         }
-        if self.nodes.wants_retry(to) && !self.probes.retry.contains(to) {
+        if self.nodes.needs_retry(to) && !self.probes.retry.contains(to) {
             self.probes.retry.push(to.clone());
         }
     }
 
-    /// Takes in what a peer says of itself and of leaving upstreams.
-    pub(super) fn hear(&mut self, cx: CX![], card: &NodeCard, leaving: &[UpstreamName]) {
+    /// Processes a peer's card and the leaving upstreams that it reports.
+    pub(super) fn on_peer_state(&mut self, cx: CX![], card: &NodeCard, leaving: &[UpstreamName]) {
         if self.nodes.on_card(card) {
             self.announce_nodes();
         }
         let now_ms = self.timers.now_ms(cx);
-        let mut news = false;
+        let mut is_new = false;
         for name in leaving {
-            if self.evidence.on_hearsay(name, now_ms) {
-                news = true;
+            if self.refusals.on_peer_report(name, now_ms) {
+                is_new = true;
                 self.announce(name, now_ms);
             }
         }
-        if news {
-            self.spread_news(cx, now_ms);
+        if is_new {
+            self.notify_random_peers(cx, now_ms);
         }
     }
 }
--- a/crates/members/src/directory/reducer.rs
+++ b/crates/members/src/directory/reducer.rs
@@ -5,63 +5,63 @@
 use bluebell_base::prelude::*;
 use bluebell_platform::VmEntry;
 
-/// The most entries of a full record set; bounds the reader's memory.
-const FULL_ENTRIES: usize = 100_000;
+/// The maximum number of entries in a full record set. It bounds the reader's memory.
+const MAX_FULL_ENTRIES: usize = 100_000;
 
-/// What a record says to the reader's list.
+/// The effect of a record on the reader's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DirectoryOutcome {
-    /// These changes, after which the writer's list has this digest.
+    /// The list changes.
     Changes {
-        /// The writing.
+        /// The id of the write operation.
         op: OperationId,
         /// The changes.
         changes: Vec<ListChange>,
-        /// The digest.
+        /// The digest of the writer's list after the changes.
         digest: u64,
     },
-    /// This is the whole list.
+    /// The list is replaced.
     Full {
-        /// The writing.
+        /// The id of the write operation.
         op: OperationId,
         /// All entries.
         entries: Vec<VmEntry>,
     },
-    /// The record is not the current writer's, or a part of something unfinished.
+    /// No effect: the record is from a superseded writer, or part of an incomplete record set.
     Nothing,
 }
 
 #[derive(Clone, Debug)]
-struct Open {
+struct PartialList {
     op: OperationId,
     count: u32,
     next: u32,
     entries: Vec<VmEntry>,
 }
 
-/// Reduces the directory stream.
+/// Reduces the records of the directory stream to changes of the list.
 #[derive(Clone, Debug, Default)]
 pub struct DirectoryReducer {
     fencing: Option<Fencing>,
-    open: Option<Open>,
+    partial: Option<PartialList>,
     ignored: u64,
 }
 
 impl DirectoryReducer {
-    /// How many records of superseded writers were ignored.
+    /// Returns the number of ignored records of superseded writers.
     pub fn ignored(&self) -> u64 {
         self.ignored
     }
 
-    /// Takes the next record of the stream.
+    /// Applies the next record of the stream.
     pub fn apply(&mut self, record: DirectoryRecord) -> DirectoryOutcome {
         let fencing = match &record {
             DirectoryRecord::Beat(beat) => beat.fencing,
             DirectoryRecord::Full(part) => part.fencing,
         };
-        // A writer that was paused, lost its duty and woke may still append what it saw long ago.
-        // The new writer began with a record under its own, larger number, so that this shows
-        // here, at the same record for all readers.
+        // A writer that was paused, lost its duty and resumed may still append an outdated state.
+        // The new writer began with a record under its own, greater fencing number, so all readers
+        // detect this at the same record.
         if self.fencing.is_some_and(|newest| fencing < newest) {
             self.ignored += 1;
             return DirectoryOutcome::Nothing;
@@ -74,7 +74,7 @@
     }
 
     fn beat(&mut self, beat: Beat) -> DirectoryOutcome {
-        self.open = None;
+        self.partial = None;
         DirectoryOutcome::Changes {
             op: beat.op,
             changes: beat.changes,
@@ -83,32 +83,36 @@
     }
 
     fn full(&mut self, part: FullPart) -> DirectoryOutcome {
-        let open = self.open.take();
-        let first = Open {
+        let partial = self.partial.take();
+        let first = PartialList {
             op: part.op,
             count: part.count,
             next: 0,
             entries: Vec::new(),
         };
-        let open = if part.index == 0 { Some(first) } else { open };
-        let fits = |open: &Open| {
-            open.op == part.op
-                && open.count == part.count
-                && open.next == part.index
-                && open.entries.len() + part.entries.len() <= FULL_ENTRIES
+        let partial = if part.index == 0 {
+            Some(first)
+        } else {
+            partial
         };
-        let Some(mut open) = open.filter(fits) else {
+        let fits = |partial: &PartialList| {
+            partial.op == part.op
+                && partial.count == part.count
+                && partial.next == part.index
+                && partial.entries.len() + part.entries.len() <= MAX_FULL_ENTRIES
+        };
+        let Some(mut partial) = partial.filter(fits) else {
             return DirectoryOutcome::Nothing;
         };
-        open.entries.extend(part.entries);
-        open.next += 1;
-        if open.next < open.count {
-            self.open = Some(open);
+        partial.entries.extend(part.entries);
+        partial.next += 1;
+        if partial.next < partial.count {
+            self.partial = Some(partial);
             return DirectoryOutcome::Nothing;
         }
         DirectoryOutcome::Full {
-            op: open.op,
-            entries: open.entries,
+            op: partial.op,
+            entries: partial.entries,
         }
     }
 }
--- a/crates/members/src/listing/mod.rs
+++ b/crates/members/src/listing/mod.rs
@@ -1,15 +1,15 @@
-//! The list as this node believes it, and the confirmation that an entry's absence needs.
+//! The list as known to this node, and the confirmation of absent entries.
 //!
 //! Terms: a *listing* is one answer of the platform's list; an entry *vanishes* when enough
 //! listings in a row lack it.
 //!
-//! Why a late or wrong listing does no harm:
-//! - An entry that appears too early or stays too long costs a refused connection, which is
-//!   certain not to have run anything and is tried elsewhere.
+//! A late or wrong listing does no harm:
+//! - An entry that appears too early or stays too long costs a refused connection. Such a request
+//!   has certainly not run and is sent to another upstream.
 //! - An entry that is missing by mistake is kept until several listings in a row lack it, and
-//!   many more where most of the list is missing at once: a list that lost its store answers
-//!   with few entries or none. An entry that vanished wrongly comes back with the next right
-//!   listing; streams that run on it are not cut by its vanishing.
+//!   many more if most of the list is missing at once: a platform that lost the store of its list
+//!   answers with few entries or none. An entry that vanished wrongly returns with the next correct
+//!   listing, and streams that run on it are not cut when it vanishes.
 //!
 //! Invariants: a change is reported once; applying the same listing twice changes nothing.
 
@@ -18,11 +18,11 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How much longer an absence has to last where more than half of the entries are missing.
-const MASS_FACTOR: u32 = 20;
+/// The factor by which more listings must lack an entry if more than half of all entries are missing.
+const MASS_ABSENCE_FACTOR: u32 = 20;
 
-/// Entries below which a shrinking list is not taken for a broken one.
-const MASS_ENTRIES: usize = 4;
+/// The number of entries below which a mass absence is not assumed to be an error of the list.
+const MIN_MASS_ABSENCE_ENTRIES: usize = 4;
 
 /// A difference between two states of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -35,12 +35,12 @@
     },
     /// An entry vanished.
     Gone {
-        /// Its VM.
+        /// The entry's VM.
         name: VmName,
     },
 }
 
-/// The believed list.
+/// The list as known to this node.
 #[derive(Clone, Debug, Default)]
 pub struct Listing {
     entries: BTreeMap<VmName, VmEntry>,
@@ -48,32 +48,34 @@
 }
 
 impl Listing {
-    /// The entries, by name.
+    /// Returns the entries, sorted by name.
     pub fn entries(&self) -> impl Iterator<Item = &VmEntry> {
         self.entries.values()
     }
 
-    /// The entry of that VM.
+    /// Returns the entry of a VM.
     pub fn entry(&self, name: &VmName) -> Option<&VmEntry> {
         self.entries.get(name)
     }
 
-    /// How many entries there are.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are none.
+    /// Returns true if there are no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// What a fetched list changes, absences confirmed; the listing itself is not changed.
+    /// Returns the changes that a fetched list makes, with absences that `confirmations` listings in a
+    /// row confirm. Counts absences but does not apply the changes.
     pub fn compare(&mut self, fetched: &[VmEntry], confirmations: u32) -> Vec<ListChange> {
         let mut changes: Vec<ListChange> = Vec::new();
         let mut present = BTreeSet::new();
         for entry in fetched {
-            // The first of two entries of one name counts, so that both don't alternate.
+            // Of two entries with the same name only the first is used, so that they don't
+            // alternate.
             if present.insert(&entry.name) && self.entries.get(&entry.name) != Some(entry) {
                 let entry = entry.clone();
                 changes.push(ListChange::Set { entry });
@@ -86,8 +88,9 @@
             .cloned()
             .collect();
         self.missing.retain(|name, _| absent.contains(name));
-        let mass = self.entries.len() >= MASS_ENTRIES && absent.len() * 2 > self.entries.len();
-        let needed = confirmations * if mass { MASS_FACTOR } else { 1 };
+        let mass =
+            self.entries.len() >= MIN_MASS_ABSENCE_ENTRIES && absent.len() * 2 > self.entries.len();
+        let needed = confirmations * if mass { MASS_ABSENCE_FACTOR } else { 1 };
         for name in absent {
             let count = self.missing.entry(name.clone()).or_default();
             *count += 1;
@@ -98,7 +101,7 @@
         changes
     }
 
-    /// What makes this list equal to `entries`, with no absence to be confirmed.
+    /// Returns the changes that make this list equal to `entries`, without confirmation of absences.
     pub fn replace(&self, entries: Vec<VmEntry>) -> Vec<ListChange> {
         let kept: BTreeSet<&VmName> = entries.iter().map(|e| &e.name).collect();
         let gone = self.entries.keys().filter(|name| !kept.contains(name));
@@ -109,7 +112,7 @@
         changes
     }
 
-    /// Takes a change over; `false` where it says nothing new.
+    /// Applies a change. Returns false if it had no effect.
     pub fn apply(&mut self, change: &ListChange) -> bool {
         match change {
             ListChange::Set { entry } => {
--- a/crates/members/src/nodes/mod.rs
+++ b/crates/members/src/nodes/mod.rs
@@ -1,30 +1,30 @@
-//! The other nodes: their cards, and which of them answer.
+//! The other nodes: their cards and their liveness.
 //!
 //! Terms: a *candidate* is a peer address from the list or the settings; a node is *suspected*
 //! once several probes in a row failed.
 //!
-//! Invariants: one card an address; of two incarnations at one address the one heard last counts,
-//! as a process that was replaced says nothing any more. Suspicion is this node's own opinion: it
-//! takes a node out of its view and proves nothing about it.
+//! Invariants: one card per address; of two incarnations at one address the last one received is
+//! current, since a process that was replaced sends nothing more. Suspicion is local to this node: it
+//! removes the suspected node from the live nodes and does not prove that it is dead.
 
 use bluebell_base::prelude::*;
 use bluebell_peers::NodeCard;
 use std::collections::BTreeMap;
 
-/// Failed probes in a row that make a node suspected.
-const FAILURES_TO_SUSPECT: u32 = 3;
+/// The number of failed probes in a row after which a node is suspected.
+const FAILURES_BEFORE_SUSPICION: u32 = 3;
 
 #[derive(Clone, Debug, Default)]
-struct Known {
+struct Peer {
     card: Option<NodeCard>,
     failures: u32,
     listed: bool,
-    answered: Option<Answered>,
+    last_answer: Option<LastAnswer>,
 }
 
-/// Who answered this node's own probe, and when.
+/// The last answer to a probe of this node.
 #[derive(Clone, Copy, Debug)]
-struct Answered {
+struct LastAnswer {
     incarnation: Incarnation,
     at_ms: MonoMs,
 }
@@ -32,134 +32,135 @@
 /// The peers by address.
 #[derive(Clone, Debug, Default)]
 pub struct Nodes {
-    known: BTreeMap<Address, Known>,
+    peers: BTreeMap<Address, Peer>,
     own: Option<Address>,
 }
 
 impl Nodes {
-    /// No peers known; `own` is never a peer.
+    /// Creates an empty set of peers. The address `own` is never a peer.
     pub fn new(own: Address) -> Self {
         Self {
-            known: BTreeMap::new(),
+            peers: BTreeMap::new(),
             own: Some(own),
         }
     }
 
-    /// The list or the settings name a peer.
+    /// Records an address that the list or the settings name as a peer.
     pub fn on_candidate(&mut self, address: &Address) {
         if self.own.as_ref() != Some(address) {
-            self.known.entry(address.clone()).or_default().listed = true;
+            self.peers.entry(address.clone()).or_default().listed = true;
         }
     }
 
-    /// The list no longer names a peer; `true` where that changes the live nodes.
+    /// Records that the list no longer names a peer. Returns true if the peer was removed.
     ///
-    /// A node that still answers stays: the list may be wrong about it.
+    /// A node that still answers is kept, since the list may be wrong.
     pub fn on_unlisted(&mut self, address: &Address) -> bool {
-        let Some(known) = self.known.get_mut(address) else {
+        let Some(peer) = self.peers.get_mut(address) else {
             return false;
         };
-        known.listed = false;
-        self.forget_dead(address)
+        peer.listed = false;
+        self.remove_if_dead(address)
     }
 
-    /// A card was heard; `true` where that changes the live nodes.
+    /// Records a received card. Returns true if the live nodes or their cards changed.
     pub fn on_card(&mut self, card: &NodeCard) -> bool {
         if self.own.as_ref() == Some(&card.address) {
             return false;
         }
-        let known = self.known.entry(card.address.clone()).or_default();
-        let was_live = known.is_live();
-        known.failures = 0;
-        let before = known.card.replace(card.clone());
+        let peer = self.peers.entry(card.address.clone()).or_default();
+        let was_live = peer.is_live();
+        peer.failures = 0;
+        let before = peer.card.replace(card.clone());
         !was_live || before.as_ref() != Some(card)
     }
 
-    /// A probe sent at `asked_ms` was answered; gives the incarnation that is thereby known to be
-    /// dead, if any.
+    /// Records the answer to a probe sent at `sent_ms`. Returns the incarnation that the answer proves
+    /// to be dead, if any.
     ///
-    /// Only answers to own probes count, and only if the probe was sent after the other one had
-    /// answered: then it lived first and another does now, at one address that two processes
-    /// can't share. A card from a peer's probe may have waited in a queue while its sender was
-    /// replaced, and would make the newer one look like the older.
+    /// Only answers to own probes count, and only if the probe was sent after another incarnation had
+    /// answered. That incarnation was then alive first, and the new one is alive now at the same
+    /// address, which two processes can't share. A card from a peer's probe may have waited in a
+    /// queue while its sender was replaced, and would make the newer incarnation appear older.
     pub fn on_answer(
         &mut self,
         card: &NodeCard,
-        asked_ms: MonoMs,
+        sent_ms: MonoMs,
         now_ms: MonoMs,
     ) -> Option<Incarnation> {
-        let known = self.known.get_mut(&card.address)?;
-        let answered = Answered {
+        let peer = self.peers.get_mut(&card.address)?;
+        let last_answer = LastAnswer {
             incarnation: card.incarnation,
             at_ms: now_ms,
         };
-        let before = known
-            .answered
+        let before = peer
+            .last_answer
             .filter(|before| before.incarnation != card.incarnation);
-        if known
-            .answered
-            .is_some_and(|before| asked_ms <= before.at_ms)
+        if peer
+            .last_answer
+            .is_some_and(|before| sent_ms <= before.at_ms)
         {
             return None;
         }
-        known.answered = Some(answered);
+        peer.last_answer = Some(last_answer);
         before.map(|before| before.incarnation)
     }
 
-    /// A probe failed; `true` where that changes the live nodes.
+    /// Records a failed probe. Returns true if the live nodes changed.
     pub fn on_failure(&mut self, address: &Address) -> bool {
-        let Some(known) = self.known.get_mut(address) else {
+        let Some(peer) = self.peers.get_mut(address) else {
             return false;
         };
-        let was_live = known.is_live();
-        known.failures = known.failures.saturating_add(1);
-        let changed = was_live && !known.is_live();
-        self.forget_dead(address);
+        let was_live = peer.is_live();
+        peer.failures = peer.failures.saturating_add(1);
+        let changed = was_live && !peer.is_live();
+        self.remove_if_dead(address);
         changed
     }
 
-    fn forget_dead(&mut self, address: &Address) -> bool {
-        let dead = |known: &Known| !known.listed && !known.is_live();
-        if self.known.get(address).is_some_and(dead) {
-            self.known.remove(address);
+    fn remove_if_dead(&mut self, address: &Address) -> bool {
+        let dead = |peer: &Peer| !peer.listed && !peer.is_live();
+        if self.peers.get(address).is_some_and(dead) {
+            self.peers.remove(address);
             return true;
         }
         false
     }
 
-    /// Whether the next probe should go to this one: it just failed and is not suspected yet.
-    pub fn wants_retry(&self, address: &Address) -> bool {
-        let known = self.known.get(address);
-        known.is_some_and(|known| known.failures > 0 && known.failures < FAILURES_TO_SUSPECT)
+    /// Returns true if the next probe should go to this peer: its last probe failed, and it is not
+    /// suspected yet.
+    pub fn needs_retry(&self, address: &Address) -> bool {
+        let peer = self.peers.get(address);
+        peer.is_some_and(|peer| peer.failures > 0 && peer.failures < FAILURES_BEFORE_SUSPICION)
     }
 
-    /// The cards of the live nodes.
+    /// Returns the cards of the live nodes.
     pub fn live(&self) -> Vec<NodeCard> {
-        let live = self.known.values().filter(|known| known.is_live());
-        live.filter_map(|known| known.card.clone()).collect()
+        let live = self.peers.values().filter(|peer| peer.is_live());
+        live.filter_map(|peer| peer.card.clone()).collect()
     }
 
-    /// Addresses of all peers, the suspected ones too, since they may be back.
+    /// Returns the addresses of all peers, including suspected ones, since they may be back.
     pub fn addresses(&self) -> Vec<Address> {
-        self.known.keys().cloned().collect()
+        self.peers.keys().cloned().collect()
     }
 
-    /// Addresses of live peers.
+    /// Returns the addresses of the live peers.
     pub fn live_addresses(&self) -> Vec<Address> {
-        let live = self.known.iter().filter(|(_, known)| known.is_live());
+        let live = self.peers.iter().filter(|(_, peer)| peer.is_live());
         live.map(|(address, _)| address.clone()).collect()
     }
 
-    /// Addresses of candidates that were never heard.
-    pub fn unheard(&self) -> Vec<Address> {
-        let unheard = |known: &Known| known.card.is_none() && known.failures == 0;
-        let unheard = self.known.iter().filter(|(_, known)| unheard(known));
-        unheard.map(|(address, _)| address.clone()).collect()
+    /// Returns the addresses of candidates that have neither sent a card nor failed a probe.
+    pub fn uncontacted(&self) -> Vec<Address> {
+        let uncontacted = |peer: &Peer| peer.card.is_none() && peer.failures == 0;
+        let uncontacted = self.peers.iter().filter(|(_, peer)| uncontacted(peer));
+        uncontacted.map(|(address, _)| address.clone()).collect()
     }
 }
 
-impl Known {
+impl Peer {
     fn is_live(&self) -> bool {
-        self.card.is_some() && self.failures < FAILURES_TO_SUSPECT
+        self.card.is_some() && self.failures < FAILURES_BEFORE_SUSPICION
     }
 }
--- a/crates/members/src/settings/mod.rs
+++ b/crates/members/src/settings/mod.rs
@@ -1,11 +1,11 @@
-//! What membership is set up with.
+//! The dependencies and settings of membership.
 
 use bluebell_base::prelude::*;
 use bluebell_peers::PeerPort;
 use bluebell_platform::{LogPort, VmListPort};
 use std::rc::Rc;
 
-/// What membership reaches the outside through.
+/// The interfaces through which membership accesses the platform and the peers.
 #[derive(Clone)]
 pub struct MembersPorts {
     /// The platform's list of VMs.
@@ -16,38 +16,39 @@
     pub peers: Rc<dyn PeerPort>,
 }
 
-/// The intervals and limits of membership; the same on all nodes of a fleet.
+/// The intervals and limits of membership. They must be the same on all nodes of a fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembersSettings {
-    /// The stream of directory records.
+    /// The name of the directory stream.
     pub directory_stream: StreamName,
-    /// Peer addresses known from settings, for a start while the list is down.
+    /// Configured peer addresses, for a start while the list is unavailable.
     pub seeds: Vec<Address>,
-    /// How often the holder of the duty fetches the list, where it is short.
+    /// The interval at which the writer of the directory fetches the list. A long list is fetched
+    /// less often; see `list_bytes`.
     pub writer_poll_ms: SpanMs,
-    /// The rate at which one node may fetch lists; a long list is fetched less often.
+    /// The maximum rate at which one node fetches the list, in bytes/s.
     pub list_bytes: PerSecond,
-    /// How often a node fetches the list itself while the directory stream is stale; varied by
-    /// half of itself either way.
-    pub own_poll_ms: SpanMs,
+    /// The interval at which a node fetches the list itself while the directory stream is stale,
+    /// with a jitter of half the interval in either direction.
+    pub fallback_poll_ms: SpanMs,
     /// The time between reads of the directory stream.
     pub directory_tail_ms: SpanMs,
-    /// How often the holder writes that it is at work, if nothing else is to be written.
+    /// The interval at which the writer writes a heartbeat if it has nothing else to write.
     pub beat_ms: SpanMs,
-    /// How long without a directory record until the stream counts as stale.
+    /// The time without a directory record after which the stream is stale.
     pub stale_ms: SpanMs,
-    /// How long the log keeps records.
+    /// The time for which the log keeps records.
     pub retention_ms: SpanMs,
-    /// The largest record the log takes.
+    /// The maximum size of a record in the log.
     pub record_bytes: Bytes,
-    /// The time between probes of random peers, one at a time.
+    /// The mean interval between probes. Each goes to one random peer.
     pub probe_ms: SpanMs,
-    /// How many peers are told at once of an upstream that begins to leave.
+    /// The number of peers that a node notifies at once of a leaving upstream or of its own stop.
     pub news_fanout: usize,
-    /// How long an upstream's own refusal counts against the list.
+    /// The time for which an upstream's refusal overrides the list.
     pub refusal_ms: SpanMs,
-    /// In how many answers in a row an entry has to be missing before it is gone.
-    pub confirmations: u32,
+    /// The number of lists in a row that must lack an entry before it is removed.
+    pub absence_confirmations: u32,
 }
 
 impl Default for MembersSettings {
@@ -57,7 +58,7 @@
             seeds: Vec::new(),
             writer_poll_ms: SpanMs(1_000),
             list_bytes: PerSecond(3_000.0),
-            own_poll_ms: SpanMs::from_secs(20),
+            fallback_poll_ms: SpanMs::from_secs(20),
             directory_tail_ms: SpanMs(1_000),
             beat_ms: SpanMs::from_secs(10),
             stale_ms: SpanMs::from_secs(30),
@@ -66,7 +67,7 @@
             probe_ms: SpanMs(1_000),
             news_fanout: 4,
             refusal_ms: SpanMs::from_secs(60),
-            confirmations: 3,
+            absence_confirmations: 3,
         }
     }
 }
--- a/crates/members/tests/directory.rs
+++ b/crates/members/tests/directory.rs
@@ -1,4 +1,4 @@
-//! The list, its changes, and the records that carry them.
+//! The list, its changes, and the records of the directory stream.
 
 use bluebell_base::prelude::*;
 use bluebell_members::directory::{
@@ -27,7 +27,7 @@
     listing.entries().cloned().collect()
 }
 
-fn take(listing: &mut Listing, fetched: &[VmEntry]) -> usize {
+fn apply_fetched(listing: &mut Listing, fetched: &[VmEntry]) -> usize {
     let changes = listing.compare(fetched, 3);
     changes
         .iter()
@@ -35,43 +35,48 @@
         .count()
 }
 
-/// An entry is missing once or twice and comes back: nothing changes. Three times: it is gone.
+/// An entry that is missing from one or two listings in a row is kept. After three it is removed.
 #[test]
-fn an_absence_is_confirmed() {
+fn an_absence_needs_confirmation() {
     let mut listing = Listing::default();
     let all = entries(&[1, 2, 3, 4, 5]);
-    assert_eq!(take(&mut listing, &all), 5);
+    assert_eq!(apply_fetched(&mut listing, &all), 5);
     for _ in 0..10 {
-        assert_eq!(take(&mut listing, &all[1..]), 0);
-        assert_eq!(take(&mut listing, &all[1..]), 0);
-        assert_eq!(take(&mut listing, &all), 0);
+        assert_eq!(apply_fetched(&mut listing, &all[1..]), 0);
+        assert_eq!(apply_fetched(&mut listing, &all[1..]), 0);
+        assert_eq!(apply_fetched(&mut listing, &all), 0);
     }
-    (0..2).for_each(|_| assert_eq!(take(&mut listing, &all[1..]), 0));
-    assert_eq!(take(&mut listing, &all[1..]), 1);
+    (0..2).for_each(|_| assert_eq!(apply_fetched(&mut listing, &all[1..]), 0));
+    assert_eq!(apply_fetched(&mut listing, &all[1..]), 1);
     assert_eq!(listed(&listing), &all[1..]);
 }
 
-/// The list's store is lost and it answers with nothing: the entries stay for a long while.
+/// The platform lost the store of its list and returns no entries. The entries are kept for 59
+/// listings and removed by the 60th.
 #[test]
-fn an_empty_list_is_not_believed() {
+fn an_empty_list_needs_more_confirmations() {
     let mut listing = Listing::default();
-    take(&mut listing, &entries(&[1, 2, 3, 4, 5]));
+    apply_fetched(&mut listing, &entries(&[1, 2, 3, 4, 5]));
     for _ in 0..59 {
-        assert_eq!(take(&mut listing, &[]), 0);
+        assert_eq!(apply_fetched(&mut listing, &[]), 0);
     }
-    assert_eq!(take(&mut listing, &[]), 5, "it may be true after all");
+    assert_eq!(
+        apply_fetched(&mut listing, &[]),
+        5,
+        "the absence is confirmed"
+    );
 }
 
-/// A list names one VM twice: the first entry counts, and the two don't alternate.
+/// A list has two entries for a VM. The first is used, and the two don't alternate.
 #[test]
-fn a_name_given_twice() {
+fn a_duplicate_name_uses_the_first_entry() {
     let mut listing = Listing::default();
     let twice = [entry(1, VmState::Live), entry(1, VmState::Leaving)];
-    assert_eq!(take(&mut listing, &twice), 1);
-    assert_eq!(take(&mut listing, &twice), 0);
+    assert_eq!(apply_fetched(&mut listing, &twice), 1);
+    assert_eq!(apply_fetched(&mut listing, &twice), 0);
 }
 
-/// A superseded writer's record comes late: it is ignored, also in the middle of a full list.
+/// A late record of a superseded writer is ignored, also within a full record set.
 #[test]
 fn old_writers_are_ignored() {
     let all = entries(&[1, 2, 3]);
@@ -95,7 +100,7 @@
 }
 
 proptest! {
-    /// Any list is carried whole by its records, whatever their size.
+    /// A list of any size is restored from its full records of any size.
     #[test]
     fn full_lists_survive(entries in any_entries(), record_bytes in 1..2_000u64) {
         let mut reducer = DirectoryReducer::default();
@@ -116,7 +121,7 @@
         prop_assert_eq!(listed(&listing), sorted);
     }
 
-    /// Applied again, or in part before, changes lead to the same list.
+    /// Changes lead to the same list if some or all of them are applied twice.
     #[test]
     fn changes_are_idempotent(before in any_entries(), after in any_entries(), some in 0..24usize) {
         let mut listing = Listing::default();
@@ -129,7 +134,7 @@
         prop_assert_eq!(listing.len(), after.len());
     }
 
-    /// Any text may stand in the stream.
+    /// Decoding does not panic for any text.
     #[test]
     fn any_text_is_read_or_skipped(text in "\\PC{0,200}") {
         let _: Option<DirectoryRecord> = decode(&text, Bytes(100));
--- a/crates/members/tests/nodes.rs
+++ b/crates/members/tests/nodes.rs
@@ -1,4 +1,4 @@
-//! Which nodes answer, and which are known to be dead.
+//! The liveness of nodes and the detection of dead incarnations.
 
 use bluebell_base::prelude::*;
 use bluebell_members::nodes::Nodes;
@@ -21,7 +21,7 @@
     nodes
 }
 
-/// A process is replaced at its address: the one that answers later is the live one.
+/// A process is replaced at its address. The incarnation that answered before is dead.
 #[test]
 fn a_replaced_process_is_dead() {
     let mut nodes = nodes();
@@ -31,8 +31,8 @@
     assert_eq!(dead, Some(Incarnation(1)));
 }
 
-/// Two probes were under way while the process was replaced, and the answer of the old one comes
-/// last. The new one must not be taken for dead.
+/// Two probes were under way while the process was replaced, and the old process's answer arrives
+/// last. The new process must not be considered dead.
 #[test]
 fn crossed_answers_prove_nothing() {
     let mut nodes = nodes();
@@ -41,7 +41,8 @@
     assert_eq!(nodes.on_answer(&card(2), MonoMs(40), MonoMs(50)), None);
 }
 
-/// A peer's card that waited in a queue says who it was, but is no proof of a death.
+/// A node is suspected after three failed probes in a row and live again after its next card. A live
+/// node that the list no longer names is kept.
 #[test]
 fn suspicion_takes_three_failures() {
     let mut nodes = nodes();
@@ -50,11 +51,11 @@
     assert!(!nodes.on_failure(&card(1).address));
     assert!(nodes.on_failure(&card(1).address), "suspected now");
     assert!(nodes.live().is_empty());
-    assert!(nodes.on_card(&card(1)), "it is back");
+    assert!(nodes.on_card(&card(1)), "live again");
     assert_eq!(nodes.live(), vec![card(1)]);
     assert!(
         !nodes.on_unlisted(&card(1).address),
-        "it answers, whatever the list says"
+        "a live node is kept, regardless of the list"
     );
     assert_eq!(nodes.live(), vec![card(1)]);
 }
