--- a/crates/bridge/src/jobs.rs
+++ b/crates/bridge/src/jobs.rs
@@ -1,9 +1,9 @@
 //! Blocking jobs on I/O threads, with answers and events delivered on the actor thread.
 //!
-//! Terms: *pending* holds the `Ret` or `Fwd` of each running job, which must not leave the actor
-//! thread; a job knows only its key.
+//! Terms: a *waiter* is the `Ret` or `Fwd` of a job. It must not leave the actor thread, so a job
+//! has only its key in the map of *pending* waiters.
 //!
-//! Invariants: a key is used once; an event for a key no longer pending is dropped.
+//! Invariants: a key is used once; an event for a key that is no longer pending is dropped.
 
 use crate::inbox::{Inbox, InboxSender};
 use crossbeam_channel::{Receiver, Sender, TrySendError, bounded};
@@ -20,27 +20,28 @@
 
 type Job = Box<dyn FnOnce() + Send>;
 type Value = Box<dyn Any + Send>;
-type Answers = Rc<RefCell<HashMap<u64, Waiter>>>;
+type Waiters = Rc<RefCell<HashMap<u64, Waiter>>>;
 
 enum Waiter {
     Answer(Box<dyn FnOnce(Value)>),
     Events(Rc<dyn Fn(Value)>),
 }
 
-/// Jobs that may wait for an I/O thread.
-const QUEUED_JOBS: usize = 4096;
+/// The maximum number of jobs that wait for an I/O thread.
+const MAX_QUEUED_JOBS: usize = 4096;
 
-/// Runs blocking jobs on threads and brings their results back; cheap to clone on its thread.
+/// Runs blocking jobs on I/O threads and delivers their results on the actor thread. It is cheap to
+/// clone on its thread.
 #[derive(Clone)]
 pub struct Bridge {
     link: InboxSender,
-    pending: Answers,
+    pending: Waiters,
     next_key: Rc<RefCell<u64>>,
     queue: Sender<Job>,
     workers: Arc<Workers>,
 }
 
-/// The threads that run queued jobs; started as they are needed, up to a limit.
+/// The threads that run queued jobs. They are started as needed, up to a limit.
 #[derive(Debug)]
 struct Workers {
     queue: Receiver<Job>,
@@ -59,14 +60,14 @@
 }
 
 thread_local! {
-    static PENDING: RefCell<HashMap<u64, Answers>> = RefCell::new(HashMap::new());
+    static BRIDGES: RefCell<HashMap<u64, Waiters>> = RefCell::new(HashMap::new());
 }
 
 impl Bridge {
     /// Opens a bridge into `inbox` that uses at most `threads` I/O threads.
     pub fn open(inbox: &Inbox, threads: usize) -> Self {
-        let (queue, receiver) = bounded(QUEUED_JOBS);
-        let pending: Answers = Rc::default();
+        let (queue, receiver) = bounded(MAX_QUEUED_JOBS);
+        let pending: Waiters = Rc::default();
         let workers = Workers {
             queue: receiver,
             idle: AtomicUsize::new(0),
@@ -80,23 +81,23 @@
             queue,
             workers: Arc::new(workers),
         };
-        PENDING.with_borrow_mut(|map| map.insert(bridge.id(), pending));
+        BRIDGES.with_borrow_mut(|map| map.insert(bridge.id(), pending));
         bridge
     }
 
-    /// A link into the node's inbox.
+    /// Returns a link to the node's inbox.
     pub fn link(&self) -> InboxSender {
         self.link.clone()
     }
 
-    /// The number of jobs whose answer or events are still awaited.
+    /// Returns the number of jobs whose answer or events are pending.
     pub fn pending(&self) -> usize {
         self.pending.borrow().len()
     }
 
-    /// Runs `job` on an I/O thread and gives its result to `ret`.
+    /// Runs `job` on an I/O thread and passes its result to `ret`.
     ///
-    /// `ret` is called with `refused` at once where too many jobs are queued already.
+    /// If too many jobs are queued, `ret` is called with the result of `refused` at once.
     pub fn call<T: Send + 'static>(
         &self,
         job: impl FnOnce() -> T + Send + 'static,
@@ -105,23 +106,23 @@
     ) {
         let completer = self.completer(ret);
         let (id, key) = (completer.inner.id, completer.inner.key);
-        // A job that panics drops the completer, which drops `ret`: its waiter is told that no
-        // answer comes instead of waiting for ever.
+        // A job that panics drops the completer, which drops `ret`. The waiter is then called with
+        // `None` instead of never.
         let queued = self.submit(Box::new(move || {
             completer.complete(job());
         }));
         if let Err(job) = queued {
-            // Guards against a refusal that shows as "no answer came", so that a caller would be
-            // told that its request may have run: dropping the job drops `ret` with its completer.
-            // The refusal goes first, and the drop then finds no waiter.
+            // Dropping the job drops `ret` with its completer. The refusal would then appear as a
+            // missing answer, and the caller would get that its request may have run. The refusal is
+            // therefore delivered first, so that the drop finds no waiter.
             deliver_answer(id, key, Box::new(refused()));
             drop(job);
         }
     }
 
-    /// Runs `job` on an I/O thread; each event it sends goes to `fwd`, in order.
+    /// Runs `job` on an I/O thread and passes each event that it sends to `fwd`, in order.
     ///
-    /// Returns `false`, and drops `job` unrun, where too many jobs are queued already.
+    /// If too many jobs are queued, returns false and drops `job` without running it.
     pub fn stream<E: Send + 'static>(
         &self,
         job: impl FnOnce(EventSender<E>) + Send + 'static,
@@ -131,9 +132,9 @@
         self.submit(Box::new(move || job(sender))).is_ok()
     }
 
-    /// Makes a completer: whoever holds it, on any thread, gives `ret` its value.
+    /// Creates a completer, which passes a value to `ret` from any thread.
     pub fn completer<T: Send + 'static>(&self, ret: Ret<T>) -> Completer<T> {
-        let key = self.add(Waiter::Answer(Box::new(move |value| {
+        let key = self.add_waiter(Waiter::Answer(Box::new(move |value| {
             if let Ok(value) = value.downcast::<T>() {
                 ret.ret(*value);
             }
@@ -143,9 +144,9 @@
         }
     }
 
-    /// Makes a sender: whoever holds it, on any thread, sends events to `fwd`, in order.
+    /// Creates a sender, which passes events to `fwd` from any thread, in order.
     pub fn sender_to<E: Send + 'static>(&self, fwd: Fwd<E>) -> EventSender<E> {
-        let key = self.add(Waiter::Events(Rc::new(move |value: Value| {
+        let key = self.add_waiter(Waiter::Events(Rc::new(move |value: Value| {
             if let Ok(value) = value.downcast::<E>() {
                 fwd.fwd(*value);
             }
@@ -166,14 +167,14 @@
         Rc::as_ptr(&self.pending) as u64
     }
 
-    fn add(&self, waiter: Waiter) -> u64 {
+    fn add_waiter(&self, waiter: Waiter) -> u64 {
         let mut next = self.next_key.borrow_mut();
         *next += 1;
         self.pending.borrow_mut().insert(*next, waiter);
         *next
     }
 
-    /// Queues a job; hands it back where there is no room.
+    /// Queues a job, or returns it as the error if the queue is full.
     fn submit(&self, job: Job) -> Result<(), Job> {
         self.queue.try_send(job).map_err(TrySendError::into_inner)?;
         self.start_worker();
@@ -182,9 +183,9 @@
 
     fn start_worker(&self) {
         let workers = &self.workers;
-        let enough = workers.idle.load(Ordering::Acquire) > workers.queue.len();
+        let has_idle_thread = workers.idle.load(Ordering::Acquire) > workers.queue.len();
         let started = workers.started.load(Ordering::Acquire);
-        if enough || started >= workers.limit {
+        if has_idle_thread || started >= workers.limit {
             return;
         }
         let own = Arc::clone(workers);
@@ -195,7 +196,7 @@
             Ok(_) => {
                 workers.started.fetch_add(1, Ordering::AcqRel);
             }
-            Err(error) => log::warn!("no thread for an I/O job, it waits: {error}"),
+            Err(error) => log::warn!("can't start a thread for an I/O job, the job waits: {error}"),
         }
     }
 }
@@ -207,21 +208,21 @@
             let job = self.queue.recv();
             self.idle.fetch_sub(1, Ordering::AcqRel);
             match job {
-                Ok(job) => run_guarded(job),
+                Ok(job) => run_catching_panic(job),
                 Err(_) => return,
             }
         }
     }
 }
 
-/// Runs a job so that its panic ends the job, not the thread that other jobs wait for.
-fn run_guarded(job: Job) {
+/// Runs a job and catches its panic, so that the thread can run other jobs.
+fn run_catching_panic(job: Job) {
     if catch_unwind(AssertUnwindSafe(job)).is_err() {
-        log::error!("an I/O job panicked; its caller is told that no answer came");
+        log::error!("an I/O job panicked; its caller gets no answer");
     }
 }
 
-/// Sends the events of one streaming job; dropping it ends the stream.
+/// Sends the events of a streaming job. Dropping it ends the stream.
 #[derive(Debug)]
 pub struct EventSender<E> {
     id: u64,
@@ -231,7 +232,7 @@
 }
 
 impl<E: Send + 'static> EventSender<E> {
-    /// Sends one event; `false` once the node is gone and the job should end.
+    /// Sends an event. Returns false if the node has ended and the job should end too.
     pub fn send(&self, event: E) -> bool {
         let (id, key) = (self.id, self.key);
         let value: Value = Box::new(event);
@@ -242,23 +243,24 @@
 impl<E> Drop for EventSender<E> {
     fn drop(&mut self) {
         let (id, key) = (self.id, self.key);
-        // The actor thread must never send to its own inbox: full, it would wait for itself, and
-        // the node would stand still. There the waiter is within reach and dropped directly.
-        if pending_of(id).is_some() {
-            return forget(id, key);
+        // The actor thread must never send to its own inbox: if the inbox is full, the thread would
+        // wait for itself and the node would deadlock. On that thread the waiter is accessible and
+        // is dropped directly.
+        if waiters_of(id).is_some() {
+            return drop_waiter(id, key);
         }
-        self.link.send(move |_| forget(id, key));
+        self.link.send(move |_| drop_waiter(id, key));
     }
 }
 
-/// Gives one `Ret` its value from any thread; dropping it unused drops the `Ret`.
+/// Passes a value to a `Ret` from any thread. Dropping it unused drops the `Ret`.
 #[derive(Debug)]
 pub struct Completer<T> {
     inner: EventSender<T>,
 }
 
 impl<T: Send + 'static> Completer<T> {
-    /// Gives the value; `false` once the node is gone.
+    /// Passes the value to the `Ret`. Returns false if the node has ended.
     pub fn complete(self, value: T) -> bool {
         let (id, key) = (self.inner.id, self.inner.key);
         let value: Value = Box::new(value);
@@ -268,12 +270,12 @@
     }
 }
 
-fn pending_of(id: u64) -> Option<Answers> {
-    PENDING.with_borrow(|map| map.get(&id).cloned())
+fn waiters_of(id: u64) -> Option<Waiters> {
+    BRIDGES.with_borrow(|map| map.get(&id).cloned())
 }
 
 fn deliver_answer(id: u64, key: u64, value: Value) {
-    let Some(pending) = pending_of(id) else {
+    let Some(pending) = waiters_of(id) else {
         return;
     };
     let waiter = pending.borrow_mut().remove(&key);
@@ -283,7 +285,7 @@
 }
 
 fn deliver_event(id: u64, key: u64, value: Value) {
-    let Some(pending) = pending_of(id) else {
+    let Some(pending) = waiters_of(id) else {
         return;
     };
     let call = match pending.borrow().get(&key) {
@@ -293,11 +295,11 @@
     call(value);
 }
 
-fn forget(id: u64, key: u64) {
-    let Some(pending) = pending_of(id) else {
+fn drop_waiter(id: u64, key: u64) {
+    let Some(pending) = waiters_of(id) else {
         return;
     };
-    // Dropped outside the borrow: a dropped `Ret` runs code that may use the bridge again.
+    // The waiter is dropped outside the borrow: a dropped `Ret` runs code that may use the bridge.
     let waiter = pending.borrow_mut().remove(&key);
     drop(waiter);
 }
--- a/crates/bridge/tests/completer.rs
+++ b/crates/bridge/tests/completer.rs
@@ -1,4 +1,4 @@
-//! Answers and events that come from threads which the bridge did not start.
+//! Answers and events from threads that the bridge did not start.
 
 use bluebell_bridge::{Bridge, Inbox};
 use stakker::{Fwd, Ret, Stakker};
@@ -11,7 +11,7 @@
     stakker: Stakker,
     inbox: Inbox,
     bridge: Bridge,
-    seen: Rc<RefCell<Vec<Option<u32>>>>,
+    received: Rc<RefCell<Vec<Option<u32>>>>,
 }
 
 fn rig() -> Rig {
@@ -20,19 +20,19 @@
         stakker: Stakker::new(Instant::now()),
         bridge: Bridge::open(&inbox, 1),
         inbox,
-        seen: Rc::default(),
+        received: Rc::default(),
     }
 }
 
 impl Rig {
     fn ret(&self) -> Ret<u32> {
-        let seen = Rc::clone(&self.seen);
-        Ret::new(move |value| seen.borrow_mut().push(value))
+        let received = Rc::clone(&self.received);
+        Ret::new(move |value| received.borrow_mut().push(value))
     }
 
-    fn seen(&mut self) -> Vec<Option<u32>> {
+    fn received(&mut self) -> Vec<Option<u32>> {
         self.inbox.drain(&mut self.stakker);
-        self.seen.take()
+        self.received.take()
     }
 }
 
@@ -42,9 +42,9 @@
     let completer = rig.bridge.completer(rig.ret());
     let sent = thread::spawn(move || completer.complete(7));
     assert!(sent.join().expect("ends"));
-    assert!(rig.seen.borrow().is_empty());
-    assert_eq!(rig.seen(), [Some(7)]);
-    assert_eq!(rig.seen(), []);
+    assert!(rig.received.borrow().is_empty());
+    assert_eq!(rig.received(), [Some(7)]);
+    assert_eq!(rig.received(), []);
     assert_eq!(rig.bridge.pending(), 0);
 }
 
@@ -53,18 +53,18 @@
     let mut rig = rig();
     let completer = rig.bridge.completer(rig.ret());
     thread::spawn(move || drop(completer)).join().expect("ends");
-    assert_eq!(rig.seen(), [None]);
+    assert_eq!(rig.received(), [None]);
     assert_eq!(rig.bridge.pending(), 0);
 }
 
 #[test]
 fn events_arrive_in_order_until_the_sender_is_dropped() {
     let mut rig = rig();
-    let seen = Rc::clone(&rig.seen);
-    let fwd = Fwd::new(move |value: u32| seen.borrow_mut().push(Some(value)));
+    let received = Rc::clone(&rig.received);
+    let fwd = Fwd::new(move |value: u32| received.borrow_mut().push(Some(value)));
     let sender = rig.bridge.sender_to(fwd);
     let sent = thread::spawn(move || (0..3).all(|value| sender.send(value)));
     assert!(sent.join().expect("ends"));
-    assert_eq!(rig.seen(), [Some(0), Some(1), Some(2)]);
+    assert_eq!(rig.received(), [Some(0), Some(1), Some(2)]);
     assert_eq!(rig.bridge.pending(), 0);
 }
