--- a/crates/timers/src/lib.rs
+++ b/crates/timers/src/lib.rs
@@ -1,40 +1,40 @@
-//! The timer service: the one place a part gets the time from and subscribes to later instants.
+//! The timer service: the only source of the time and of timers for actors.
 //!
-//! Terms: a *subscription* is a handle; dropping it cancels the timer. The service reads
-//! `stakker`'s `now`, so the same code runs under the real clock and under a virtual one that a
-//! test moves by calling `Stakker::run` with a later instant.
+//! Terms: a *subscription* is the handle of a timer; [`Timers::cancel`] cancels the timer, and dropping
+//! the handle does not. The service reads `stakker`'s `now`, so the same code runs with the real clock
+//! and with a virtual clock that a test advances by calling `Stakker::run` with a later instant.
 //!
-//! Invariants: `now_ms` never goes back; a subscription fires at most once, never early.
+//! Invariants: `now_ms` never decreases; a subscription fires at most once and never early.
 
 use bluebell_base::prelude::*;
 use stakker::{Core, FixedTimerKey, Fwd};
 use std::time::{Duration, Instant};
 
-/// The time and the timers of one node; cheap to clone.
+/// The time and the timers of a node. It is cheap to clone.
 #[derive(Clone, Debug)]
 pub struct Timers {
     origin: Instant,
 }
 
-/// A pending timer; see [`Timers::cancel`].
+/// The handle of a timer, for [`Timers::cancel`].
 #[derive(Clone, Copy, Debug)]
 pub struct Subscription {
     key: FixedTimerKey,
 }
 
 impl Timers {
-    /// Opens the service; instants count from `origin`.
+    /// Creates the service. Times are counted from `origin`.
     pub fn open(origin: Instant) -> Self {
         Self { origin }
     }
 
-    /// The monotonic instant of the event being handled.
+    /// Returns the monotonic time of the event being handled.
     pub fn now_ms(&self, core: &Core) -> MonoMs {
         let since = core.now().saturating_duration_since(self.origin);
         MonoMs(since.as_millis() as u64)
     }
 
-    /// Calls `fwd` with the instant once `at_ms` is reached.
+    /// Calls `fwd` with the current time once `at_ms` is reached.
     pub fn subscribe_at(&self, core: &mut Core, at_ms: MonoMs, fwd: Fwd<MonoMs>) -> Subscription {
         let at = self.origin + Duration::from_millis(at_ms.0);
         let timers = self.clone();
@@ -45,13 +45,13 @@
         Subscription { key }
     }
 
-    /// Calls `fwd` once `span_ms` has passed.
+    /// Calls `fwd` with the current time once `span_ms` has passed.
     pub fn subscribe_in(&self, core: &mut Core, span_ms: SpanMs, fwd: Fwd<MonoMs>) -> Subscription {
         let at_ms = self.now_ms(core) + span_ms;
         self.subscribe_at(core, at_ms, fwd)
     }
 
-    /// Cancels a subscription; one that has fired is left as it is.
+    /// Cancels a subscription. Has no effect if it has already fired.
     pub fn cancel(&self, core: &mut Core, subscription: Subscription) {
         core.timer_del(subscription.key);
     }
--- a/crates/timers/tests/timers.rs
+++ b/crates/timers/tests/timers.rs
@@ -1,4 +1,4 @@
-//! Subscriptions under a virtual clock.
+//! Subscriptions with a virtual clock.
 
 use bluebell_base::prelude::*;
 use bluebell_timers::Timers;
