--- a/crates/entry/src/admin/exchange.rs
+++ b/crates/entry/src/admin/exchange.rs
@@ -1,4 +1,4 @@
-//! One operator's call from its head to its answer.
+//! Handles one operator's call, from its request head to its answer.
 
 use crate::admin::Shared;
 use crate::admin::route::{self, Route};
@@ -18,10 +18,10 @@
 /// The media type of the Prometheus text format.
 const METRICS_TYPE: &str = "text/plain; version=0.0.4";
 
-/// What refused operators are told as the time to come back.
+/// The `Retry-After` time sent to refused operators.
 const RETRY_AFTER_MS: SpanMs = SpanMs(1000);
 
-/// A publication as an operator sends it.
+/// The body of a call that publishes a configuration.
 #[derive(Deserialize)]
 struct PublishBody<'a> {
     base: ConfigVersion,
@@ -29,14 +29,14 @@
     config: &'a RawValue,
 }
 
-/// A configuration with its version.
+/// The answer with a configuration and its version.
 #[derive(Serialize)]
 struct ConfigBody {
     version: ConfigVersion,
     config: Box<RawValue>,
 }
 
-/// The faults of a refused configuration.
+/// The answer to a configuration that was refused, with its faults.
 #[derive(Serialize)]
 struct FaultsBody<'a> {
     error: FaultsFields<'a>,
@@ -51,20 +51,20 @@
     request: &'a str,
 }
 
-/// A client account without its key's hash.
+/// A client account without the hash of its key.
 #[derive(Serialize)]
 struct AccountBody<'a> {
     name: &'a AccountName,
 }
 
-/// The upstreams' part of who is there.
+/// The upstreams in the JSON text that [`AdminCall::Fleet`] returns.
 #[derive(Deserialize)]
 struct FleetUpstreams<'a> {
     #[serde(borrow)]
     upstreams: &'a RawValue,
 }
 
-/// An answer that only says that it was done.
+/// The answer to a call that returns no data.
 #[derive(Serialize)]
 struct DoneBody {
     done: bool,
@@ -76,7 +76,7 @@
     name: Arc<str>,
 }
 
-/// Handles one request of the API, to its end.
+/// Handles one request of the API until its answer is sent.
 pub(crate) fn handle(shared: &Shared, request: Request) {
     let number = shared.last_call.fetch_add(1, Ordering::Relaxed) + 1;
     let call = Call {
@@ -106,12 +106,12 @@
             Route::Classes => self.in_force(|config| answer::json_text(&config.classes)),
             Route::Accounts => self.in_force(accounts_text),
             Route::Upstreams => self.upstreams(),
-            Route::Fleet => Ok(self.json(&self.ask(AdminCall::Fleet)?)),
-            Route::State => Ok(self.json(&self.ask(AdminCall::Dump)?)),
+            Route::Fleet => Ok(self.json(&self.call_and_wait(AdminCall::Fleet)?)),
+            Route::State => Ok(self.json(&self.call_and_wait(AdminCall::Dump)?)),
             Route::Drain => self.done(AdminCall::Drain),
             Route::Ready => self.done(AdminCall::Ready),
             Route::Metrics => {
-                let text = self.ask(AdminCall::Metrics)?;
+                let text = self.call_and_wait(AdminCall::Metrics)?;
                 let body = text.as_bytes().to_vec();
                 Ok(answer::whole(200, Some(METRICS_TYPE), body, &self.name))
             }
@@ -128,12 +128,12 @@
     }
 
     fn config(&self) -> Result<Whole, Refusal> {
-        let text = self.ask(AdminCall::Config)?;
+        let text = self.call_and_wait(AdminCall::Config)?;
         Ok(answer::json(200, &config_body(&text)?, &self.name))
     }
 
     fn history(&self) -> Result<Whole, Refusal> {
-        let versions = self.ask(AdminCall::History)?;
+        let versions = self.call_and_wait(AdminCall::History)?;
         Ok(answer::json(200, &versions, &self.name))
     }
 
@@ -152,7 +152,7 @@
             return Ok(self.faults(&faults));
         }
         let (base, config) = (call.base, call.config.get().into());
-        let published = self.ask(|reply| AdminCall::Publish {
+        let published = self.call_and_wait(|reply| AdminCall::Publish {
             base,
             body: config,
             reply,
@@ -177,21 +177,21 @@
         answer::json(400, &body, &self.name)
     }
 
-    /// A part of the configuration in force.
+    /// Answers with the part of the configuration in force that `part` renders as JSON.
     fn in_force(&self, part: impl FnOnce(&FleetConfig) -> String) -> Result<Whole, Refusal> {
-        let text = self.ask(AdminCall::Config)?;
+        let text = self.call_and_wait(AdminCall::Config)?;
         let config: FleetConfig = serde_json::from_str(&text.body).map_err(unreadable)?;
         Ok(self.json(&part(&config)))
     }
 
     fn upstreams(&self) -> Result<Whole, Refusal> {
-        let fleet = self.ask(AdminCall::Fleet)?;
+        let fleet = self.call_and_wait(AdminCall::Fleet)?;
         let fleet: FleetUpstreams = serde_json::from_str(&fleet).map_err(unreadable)?;
         Ok(self.json(fleet.upstreams.get()))
     }
 
     fn done(&self, call: impl FnOnce(Reply<()>) -> AdminCall) -> Result<Whole, Refusal> {
-        self.ask(call)?;
+        self.call_and_wait(call)?;
         Ok(answer::json(200, &DoneBody { done: true }, &self.name))
     }
 
@@ -200,9 +200,12 @@
         answer::whole(200, Some(answer::JSON), body, &self.name)
     }
 
-    /// Hands a call to the node and waits for its answer.
-    fn ask<T: Send + 'static>(&self, call: impl FnOnce(Reply<T>) -> AdminCall) -> Result<T, Error> {
-        calls::ask(self.shared.settings.reply_timeout_ms, |reply| {
+    /// Sends a call to the node and waits for its answer.
+    fn call_and_wait<T: Send + 'static>(
+        &self,
+        call: impl FnOnce(Reply<T>) -> AdminCall,
+    ) -> Result<T, Error> {
+        calls::call_and_wait(self.shared.settings.reply_timeout_ms, |reply| {
             if self.shared.calls.send(call(reply)) {
                 return Ok(());
             }
@@ -226,6 +229,6 @@
 }
 
 fn unreadable(error: serde_json::Error) -> Error {
-    log::error!("the node's own answer can't be read: {error}");
+    log::error!("an answer of the node can't be parsed: {error}");
     Error::not_run(ErrorKind::Internal, "the node's own answer can't be read")
 }
--- a/crates/entry/src/admin/mod.rs
+++ b/crates/entry/src/admin/mod.rs
@@ -1,7 +1,7 @@
-//! The administration API, on an address of its own.
+//! The administration API, which listens on an address of its own.
 //!
-//! Invariants: every path asks for the operators' credential; a configuration reaches the node
-//! only after the whole check; no answer carries a secret.
+//! Invariants: every path requires the operators' credential; a configuration reaches the node only
+//! after it was fully validated; no answer contains a secret.
 
 mod exchange;
 mod route;
@@ -18,10 +18,10 @@
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicU64;
 
-/// How many of the largest bodies may be in memory at once.
-const BODIES: u64 = 4;
+/// The number of bodies of the largest size that may be in memory at once.
+const MAX_BODIES_IN_MEMORY: u64 = 4;
 
-/// How long a write to an operator that doesn't read may take.
+/// The timeout of a write to an operator that doesn't read.
 const WRITE_TIMEOUT_MS: SpanMs = SpanMs(20_000);
 
 /// The running administration API.
@@ -29,7 +29,7 @@
     listener: Listener,
 }
 
-/// What the threads of the API share.
+/// The state shared by the threads of the API.
 pub(crate) struct Shared {
     settings: AdminSettings,
     credential: KeyHash,
@@ -39,10 +39,11 @@
 }
 
 impl Admin {
-    /// Listens, and hands calls to `calls` on the actor thread.
+    /// Starts listening and sends calls to `calls` on the actor thread.
     ///
     /// # Errors
-    /// Where the address can't be listened at or the bridge takes no jobs.
+    /// [`BindError::Listen`] if listening at the address fails, [`BindError::Bridge`] if the bridge
+    /// takes no jobs.
     pub fn bind(
         settings: AdminSettings,
         bridge: &Bridge,
@@ -53,7 +54,7 @@
             credential: KeyHash::of(&settings.credential),
             calls: open_calls(bridge, calls)?,
             last_call: AtomicU64::new(0),
-            body_budget: Budget::open(settings.body_bytes.0.saturating_mul(BODIES)),
+            body_budget: Budget::open(settings.body_bytes.0.saturating_mul(MAX_BODIES_IN_MEMORY)),
             settings,
         };
         let handler = Arc::new(move |request| exchange::handle(&shared, request));
@@ -61,12 +62,12 @@
         Ok(Self { listener })
     }
 
-    /// Where it listens.
+    /// Returns the address that the API listens at.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// Stops taking calls; those in progress go on to their end.
+    /// Stops accepting calls. Calls in progress run to completion.
     pub fn stop(self) {
         self.listener.stop();
     }
--- a/crates/entry/src/admin/route.rs
+++ b/crates/entry/src/admin/route.rs
@@ -5,34 +5,34 @@
 use bluebell_base::prelude::*;
 use tiny_http::Method;
 
-/// What an operator asks for.
+/// A route of the administration API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Route {
-    /// The configuration in force.
+    /// Returns the configuration in force.
     Config,
-    /// Publish a configuration.
+    /// Publishes a configuration.
     Publish,
-    /// Earlier configurations.
+    /// Lists the configuration versions that were in force at this node.
     History,
-    /// The classes of work in force.
+    /// Lists the classes of work in force.
     Classes,
-    /// The client accounts in force, without key hashes.
+    /// Lists the client accounts in force, without key hashes.
     Accounts,
-    /// The upstreams known.
+    /// Lists the known upstreams.
     Upstreams,
-    /// Who is there.
+    /// Lists the known nodes and upstreams.
     Fleet,
-    /// The state of the process.
+    /// Returns the state of the process.
     State,
-    /// Stop gracefully.
+    /// Stops the node gracefully.
     Drain,
-    /// Whether the node takes new work.
+    /// Checks that the node accepts new work.
     Ready,
-    /// The metrics.
+    /// Returns the metrics.
     Metrics,
 }
 
-/// Every path with its methods.
+/// All paths with their methods.
 const ROUTES: &[(&str, Method, Route)] = &[
     ("/admin/config", Method::Get, Route::Config),
     ("/admin/config", Method::Post, Route::Publish),
@@ -47,10 +47,10 @@
     ("/metrics", Method::Get, Route::Metrics),
 ];
 
-/// Finds the route.
+/// Finds the route of a method and URL.
 ///
 /// # Errors
-/// 404 for an unknown path, 405 for a known one with another method.
+/// 404 for an unknown path, 405 for a known path with another method.
 pub(crate) fn find(method: &Method, url: &str) -> Result<Route, Refusal> {
     let (path, _) = head::split_url(url);
     let mut known = ROUTES
--- a/crates/entry/src/callers/decode.rs
+++ b/crates/entry/src/callers/decode.rs
@@ -1,5 +1,5 @@
-//! Decoding completion calls. Fields that usual clients send and this version does not know are
-//! ignored; known fields with a wrong value are refused with their name.
+//! Decodes completion calls. Fields that common clients send and that are unknown here are ignored.
+//! A known field with a wrong value is refused, and the error names the field.
 
 use crate::callers::route::Form;
 use crate::http::head::invalid;
@@ -8,24 +8,24 @@
 use bluebell_requests::call::Completion;
 use serde::Deserialize;
 
-/// The longest idempotency key, in bytes.
-const KEY_BYTES: usize = 255;
+/// The maximum length of an idempotency key, in bytes.
+const MAX_KEY_BYTES: usize = 255;
 
-/// What the headers of a completion call say.
+/// The values from the headers of a completion call.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CallHeaders {
-    /// `X-Work-Class`.
+    /// The value of `X-Work-Class`.
     pub(crate) class: Option<String>,
-    /// `Idempotency-Key`.
+    /// The value of `Idempotency-Key`.
     pub(crate) idempotency_key: Option<IdempotencyKey>,
 }
 
 /// A decoded completion call.
 #[derive(Clone, Debug)]
 pub(crate) struct Decoded {
-    /// What is asked.
+    /// The requested completion.
     pub(crate) completion: Completion,
-    /// Whether the answer is wanted as a stream.
+    /// True if the answer is to be streamed.
     pub(crate) stream: bool,
 }
 
@@ -76,7 +76,7 @@
 /// Decodes a completion call.
 ///
 /// # Errors
-/// `Invalid` with the field's name; `NotFound` for a model that the configuration doesn't have.
+/// `Invalid` with the field's name; `NotFound` for a model that the configuration doesn't contain.
 pub(crate) fn completion(
     form: Form,
     body: &[u8],
@@ -118,10 +118,10 @@
 /// Parses an `Idempotency-Key` header.
 ///
 /// # Errors
-/// `Invalid` where it is empty or too long.
+/// `Invalid` if the value is empty, is longer than [`MAX_KEY_BYTES`] or contains control characters.
 pub(crate) fn idempotency_key(value: &str) -> Result<IdempotencyKey, Error> {
-    if value.len() > KEY_BYTES {
-        let message = format!("Idempotency-Key is over {KEY_BYTES} bytes");
+    if value.len() > MAX_KEY_BYTES {
+        let message = format!("Idempotency-Key is over {MAX_KEY_BYTES} bytes");
         return Err(invalid(message));
     }
     let parsed = value.parse();
@@ -149,7 +149,7 @@
         return Err(invalid("class: differs from the header X-Work-Class"));
     }
     let Some(name) = field.or(header) else {
-        return only_class(config);
+        return single_class(config);
     };
     let known = config.classes.iter().find(|c| c.name.as_str() == name);
     let known =
@@ -157,7 +157,7 @@
     Ok(known.name.clone())
 }
 
-fn only_class(config: &FleetConfig) -> Result<ClassName, Error> {
+fn single_class(config: &FleetConfig) -> Result<ClassName, Error> {
     match config.classes.as_slice() {
         [only] => Ok(only.name.clone()),
         _ => Err(invalid(
@@ -198,7 +198,7 @@
     Ok(text.into())
 }
 
-/// Joins the messages to one text: each as `role: text` and an empty line.
+/// Joins the messages to one text, each as `role: text` followed by an empty line.
 fn chat_prompt(messages: Option<Vec<Message>>) -> Result<Arc<str>, Error> {
     let messages = messages.ok_or_else(|| invalid("messages: is missing"))?;
     if messages.is_empty() {
@@ -229,7 +229,7 @@
     Ok(())
 }
 
-/// The beginning of a name given by a caller, for messages.
+/// Shortens a name from a caller for use in messages.
 fn shorten(name: &str) -> String {
     const KEPT_CHARS: usize = 80;
     name.chars().take(KEPT_CHARS).collect()
--- a/crates/entry/src/callers/deliver.rs
+++ b/crates/entry/src/callers/deliver.rs
@@ -1,9 +1,10 @@
-//! Delivering a request's events to its caller: as a stream, as one whole answer, or as a plain
+//! Delivers a request's events to its caller: as a stream, as one whole answer, or as a plain
 //! service's answer.
 //!
-//! Invariants: the head of a stream waits for the first piece of the answer, at most one keep-alive
-//! interval, so that an early refusal has its own status code; a whole answer is sent only after
-//! `Finished`; a stream that fails has no `[DONE]`, so it can't be taken for a whole answer.
+//! Invariants: the head of a stream is sent with the first piece of the answer, at the latest after
+//! one keep-alive interval, so that an early refusal has its own status code; a whole answer is
+//! sent only after `Finished`; a stream that fails has no `[DONE]`, so it can't be mistaken for a
+//! complete answer.
 
 use crate::callers::encode::{AnswerBody, End, Subject};
 use crate::http::answer::{self, ErrorBody, Refusal};
@@ -15,15 +16,16 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// The status codes that end an exchange. After any other a caller would wait for the rest.
+/// The status codes that end an exchange. After any other code a caller would keep waiting for the
+/// final response.
 const FINAL_STATUS: RangeInclusive<u16> = 200..=599;
 
-/// How an exchange ended.
+/// The outcome of an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Delivered {
-    /// The caller has been sent the last event.
+    /// The last event was sent to the caller.
     Whole,
-    /// The caller hung up, or does not read.
+    /// The caller hung up or does not read.
     CallerGone,
 }
 
@@ -36,19 +38,20 @@
     }
 }
 
-/// What is written to a caller, and the identity it is written under.
+/// The events to write to a caller, with the request id that the answer carries.
 pub(crate) struct Delivery {
     /// The queue of events.
     pub(crate) events: Receiver<CallerEvent>,
-    /// The request's id once it is admitted, the call's number before.
+    /// The request's id once the request is admitted, the call's number until then.
     pub(crate) request: Arc<str>,
-    /// The longest silence in a stream.
+    /// The silence on a stream after which a comment is sent.
     pub(crate) keep_alive: Duration,
-    /// The longest silence of a caller that waits for a whole answer.
+    /// The silence after which a caller that waits for a whole answer is sent an interim response.
+    /// `None` sends none.
     pub(crate) interim: Option<Duration>,
 }
 
-/// What comes next in the queue.
+/// The result of waiting for the next event.
 enum Next {
     Event(CallerEvent),
     Silence,
@@ -124,7 +127,7 @@
                 stream.event(None, &answer::json_text(&body))?;
                 stream.event(None, "[DONE]")
             }
-            CallerEvent::Service { .. } => self.write_failure(stream, &crossed()),
+            CallerEvent::Service { .. } => self.write_failure(stream, &unexpected_event()),
             CallerEvent::Failed { error, .. } => self.write_failure(stream, &error),
         }
     }
@@ -138,7 +141,7 @@
     pub(crate) fn whole(mut self, mut outlet: Outlet, subject: &Subject) -> Delivered {
         let mut answer_text = String::new();
         loop {
-            let Some(event) = self.next_of_whole(&mut outlet) else {
+            let Some(event) = self.next_with_interim(&mut outlet) else {
                 return Delivered::CallerGone;
             };
             match event {
@@ -159,7 +162,7 @@
                     return outlet.respond(response).into();
                 }
                 CallerEvent::Service { .. } => {
-                    return self.refuse(outlet, None, crossed());
+                    return self.refuse(outlet, None, unexpected_event());
                 }
                 CallerEvent::Failed { request, error } => {
                     return self.refuse(outlet, request, error);
@@ -171,7 +174,7 @@
     /// Delivers a plain service's answer.
     pub(crate) fn service(mut self, mut outlet: Outlet) -> Delivered {
         loop {
-            let Some(event) = self.next_of_whole(&mut outlet) else {
+            let Some(event) = self.next_with_interim(&mut outlet) else {
                 return Delivered::CallerGone;
             };
             match event {
@@ -182,7 +185,7 @@
                     body,
                 } => {
                     if !FINAL_STATUS.contains(&status) {
-                        return self.refuse(outlet, None, not_final(status));
+                        return self.refuse(outlet, None, non_final_status(status));
                     }
                     let media_type = content_type.as_deref();
                     let response = answer::whole(status, media_type, body, &self.request);
@@ -192,16 +195,16 @@
                     return self.refuse(outlet, request, error);
                 }
                 CallerEvent::Token { .. } | CallerEvent::Finished { .. } => {
-                    return self.refuse(outlet, None, crossed());
+                    return self.refuse(outlet, None, unexpected_event());
                 }
             }
         }
     }
 
-    /// The next event for a caller that waits for a whole answer and is sent interim responses
-    /// through the silence before it; none once the caller is gone.
-    fn next_of_whole(&self, outlet: &mut Outlet) -> Option<CallerEvent> {
-        let silence = self.interim.filter(|_| outlet.takes_chunks());
+    /// Returns the next event for a caller that waits for a whole answer. The caller is sent
+    /// interim responses during silences. Returns `None` once the caller has disconnected.
+    fn next_with_interim(&self, outlet: &mut Outlet) -> Option<CallerEvent> {
+        let silence = self.interim.filter(|_| outlet.supports_chunks());
         loop {
             match self.next(silence) {
                 Next::Silence => outlet.interim().ok()?,
@@ -215,7 +218,7 @@
         self.request = request.to_string().into();
     }
 
-    /// Answers with a refusal or failure, before anything else was sent.
+    /// Answers with a refusal or failure. Nothing else may have been sent before.
     pub(crate) fn refuse(
         mut self,
         outlet: Outlet,
@@ -229,7 +232,7 @@
         outlet.respond(response).into()
     }
 
-    /// Waits for the next event, at most as long as a silence may last.
+    /// Waits for the next event, at most for the given silence. `None` waits without a limit.
     fn next(&self, silence: Option<Duration>) -> Next {
         let receiver = &self.events;
         let received = match silence {
@@ -239,13 +242,14 @@
         match received {
             Ok(event) => Next::Event(event),
             Err(RecvTimeoutError::Timeout) => Next::Silence,
-            Err(RecvTimeoutError::Disconnected) => Next::Event(dropped()),
+            Err(RecvTimeoutError::Disconnected) => Next::Event(abandoned()),
         }
     }
 }
 
-/// The last event of a request whose actor went away without one, as at the node's end.
-fn dropped() -> CallerEvent {
+/// Returns the last event of a request whose actor ended without one, for example because the node
+/// stopped.
+fn abandoned() -> CallerEvent {
     let message = "the node gave the request up without an answer";
     CallerEvent::Failed {
         request: None,
@@ -253,14 +257,14 @@
     }
 }
 
-/// An answer of another kind than was asked for.
-fn crossed() -> Error {
+/// Returns the error for an answer of another kind than requested.
+fn unexpected_event() -> Error {
     let message = "an answer of another kind than asked for arrived";
     Error::may_have_run(ErrorKind::Internal, message)
 }
 
-/// A plain service's answer that is none.
-fn not_final(status: u16) -> Error {
+/// Returns the error for a plain service's answer whose status code is not a final one.
+fn non_final_status(status: u16) -> Error {
     let message = format!("the service answered with status {status}, which is no final one");
     Error::ran(ErrorKind::Upstream, message)
 }
--- a/crates/entry/src/callers/encode.rs
+++ b/crates/entry/src/callers/encode.rs
@@ -1,4 +1,4 @@
-//! The JSON of answers to callers, in the form that usual clients read.
+//! Encodes answers to callers as the JSON that common clients read.
 
 use crate::callers::route::Form;
 use bluebell_base::prelude::*;
@@ -7,20 +7,20 @@
 use serde::Serialize;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// What all pieces of one answer have in common.
+/// The properties that all pieces of one answer share.
 #[derive(Clone, Debug)]
 pub(crate) struct Subject {
-    /// The form asked for.
+    /// The requested form.
     pub(crate) form: Form,
-    /// The model, where it is known.
+    /// The model, if it is known.
     pub(crate) model: Option<ModelName>,
-    /// When the answer was begun, in seconds since 1970; told to callers only.
+    /// The time when the answer was begun, in seconds since 1970. It is only sent to callers.
     pub(crate) created_secs: u64,
 }
 
 impl Subject {
-    /// The subject of an answer begun now.
-    pub(crate) fn begun_now(form: Form, model: Option<ModelName>) -> Self {
+    /// Returns the subject of an answer that begins now.
+    pub(crate) fn beginning_now(form: Form, model: Option<ModelName>) -> Self {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         Self {
             form,
@@ -30,14 +30,14 @@
     }
 }
 
-/// How an answer ended.
+/// The end of an answer.
 #[derive(Clone, Debug)]
 pub(crate) struct End {
-    /// `stop` or `length`.
+    /// The finish reason: `stop` or `length`.
     pub(crate) reason: Arc<str>,
-    /// The prompt's length.
+    /// The length of the prompt.
     pub(crate) prompt_tokens: Tokens,
-    /// The answer's length.
+    /// The length of the answer.
     pub(crate) answer_tokens: Tokens,
 }
 
@@ -96,7 +96,7 @@
 }
 
 impl<'a> AnswerBody<'a> {
-    /// A whole answer.
+    /// Returns the body of a whole answer.
     pub(crate) fn whole(
         subject: &'a Subject,
         request: &'a str,
@@ -123,7 +123,7 @@
         Self::new(subject, request, object, choice, Some(Usage::of(end)))
     }
 
-    /// One piece of a streamed answer.
+    /// Returns the body of one piece of a streamed answer.
     pub(crate) fn piece(subject: &'a Subject, request: &'a str, text: &'a str) -> Self {
         let choice = Self::piece_choice(subject.form, Some(text), None);
         Self::new(
@@ -135,7 +135,7 @@
         )
     }
 
-    /// The end of a streamed answer.
+    /// Returns the body of the last event of a streamed answer.
     pub(crate) fn last(subject: &'a Subject, request: &'a str, end: &'a End) -> Self {
         let choice = Self::piece_choice(subject.form, None, Some(&end.reason));
         let object = Self::piece_object(subject.form);
@@ -181,7 +181,7 @@
     }
 }
 
-/// What a caller is told of its request; names of upstreams stay inside.
+/// The report on a request that its caller receives. It doesn't name upstreams.
 #[derive(Debug, Serialize)]
 pub(crate) struct ReportBody {
     request: RequestId,
@@ -203,7 +203,7 @@
     }
 }
 
-/// The models that can be asked for.
+/// The list of the models that callers can request.
 #[derive(Debug, Serialize)]
 pub(crate) struct ModelsBody<'a> {
     object: &'static str,
--- a/crates/entry/src/callers/exchange.rs
+++ b/crates/entry/src/callers/exchange.rs
@@ -1,9 +1,9 @@
-//! One call from its head to its answer.
+//! Handles one call, from its request head to its answer.
 
 use crate::callers::decode::{self, CallHeaders};
 use crate::callers::deliver::{Delivered, Delivery};
 use crate::callers::encode::{ModelsBody, ReportBody, Subject};
-use crate::callers::route::{self, Form, Route, Wanted};
+use crate::callers::route::{self, AccountRoute, Form, Route};
 use crate::callers::{InForce, Shared, sink};
 use crate::http::answer::{self, Refusal, Whole};
 use crate::http::body::{self, Body, BodyLimits};
@@ -19,47 +19,48 @@
 use std::sync::atomic::Ordering;
 use tiny_http::Request;
 
-/// The longest cursor taken from a caller, in bytes.
+/// The maximum length of a caller's cursor, in bytes.
 const CURSOR_BYTES: usize = 1024;
 
 /// One call in progress.
 struct Call<'a> {
     shared: &'a Shared,
     caller: CallerId,
-    /// The call's number as text: the request id of answers to calls that were not admitted.
+    /// The call's number as text, which is the request id in answers to calls that were not
+    /// admitted.
     name: Arc<str>,
 }
 
-/// Work that was taken in and is to be started.
-enum Taken {
+/// A call that was accepted, with the work that it starts.
+enum Accepted {
     /// A completion.
     Complete {
         decoded: decode::Decoded,
         form: Form,
         permits: Permits,
     },
-    /// A plain service's call.
+    /// A call of a plain service.
     Service {
         call: ServiceRequest,
         permits: Permits,
     },
-    /// Reading on.
+    /// Resuming the answer of an earlier request.
     ResumeAnswer {
         call: ResumeAnswer,
         form: Form,
         permit: Permit,
     },
-    /// Nothing: the answer is known.
-    Nothing(Whole),
+    /// No work, since the answer is already complete.
+    Answered(Whole),
 }
 
-/// What a call holds of the limits until its end.
+/// The permits that a call holds until it ends.
 struct Permits {
     _call: Permit,
     _body: Permit,
 }
 
-/// Handles one request of the interface, to its end.
+/// Handles one request of the interface until its answer is sent.
 pub(crate) fn handle(shared: &Shared, request: Request) {
     let caller = CallerId(shared.last_caller.fetch_add(1, Ordering::Relaxed) + 1);
     let call = Call {
@@ -70,16 +71,16 @@
     let Some(mut request) = oversize::refuse(request, &call.name) else {
         return;
     };
-    match call.take(&mut request) {
-        Ok(Taken::Nothing(response)) => call.respond(request, response),
-        Ok(taken) => call.run(request, taken),
+    match call.accept(&mut request) {
+        Ok(Accepted::Answered(response)) => call.respond(request, response),
+        Ok(accepted) => call.run(request, accepted),
         Err(refusal) => call.refuse(request, refusal),
     }
 }
 
 impl Call<'_> {
     /// Authenticates, routes, reads and decodes a request.
-    fn take(&self, request: &mut Request) -> Result<Taken, Refusal> {
+    fn accept(&self, request: &mut Request) -> Result<Accepted, Refusal> {
         head::check(request)?;
         let in_force = self.in_force();
         let config = in_force
@@ -87,38 +88,38 @@
             .map(|in_force| Arc::clone(&in_force.config));
         let config = config.unwrap_or_default();
         let wanted = match route::find(request.method(), request.url(), &config)? {
-            Route::Health => return Ok(Taken::Nothing(answer::json(200, &"ok", &self.name))),
-            Route::Ready => return self.ready().map(Taken::Nothing),
+            Route::Health => return Ok(Accepted::Answered(answer::json(200, &"ok", &self.name))),
+            Route::Ready => return self.ready().map(Accepted::Answered),
             Route::ForAccount(wanted) => wanted,
         };
         let in_force = in_force.ok_or_else(|| self.unavailable("no configuration is known yet"))?;
         let account = authenticate(&in_force, request)?;
-        self.take_wanted(wanted, account, &config, request)
+        self.accept_for_account(wanted, account, &config, request)
     }
 
-    fn take_wanted(
+    fn accept_for_account(
         &self,
-        wanted: Wanted,
+        wanted: AccountRoute,
         account: &AccountName,
         config: &FleetConfig,
         request: &mut Request,
-    ) -> Result<Taken, Refusal> {
+    ) -> Result<Accepted, Refusal> {
         match wanted {
-            Wanted::Models => {
+            AccountRoute::Models => {
                 let body = ModelsBody::from(config);
-                Ok(Taken::Nothing(answer::json(200, &body, &self.name)))
+                Ok(Accepted::Answered(answer::json(200, &body, &self.name)))
             }
-            Wanted::Complete(form) => self.take_completion(form, account, config, request),
-            Wanted::Service { service, path } => {
-                self.take_service(service, path, account, config, request)
+            AccountRoute::Complete(form) => self.accept_completion(form, account, config, request),
+            AccountRoute::Service { service, path } => {
+                self.accept_service(service, path, account, config, request)
             }
-            Wanted::ResumeAnswer(id) => self.take_read_on(id, account, request),
-            Wanted::Report(id) => self.ask(id, |reply| CallerCall::Report {
+            AccountRoute::ResumeAnswer(id) => self.accept_resume(id, account, request),
+            AccountRoute::Report(id) => self.call_and_wait(id, |reply| CallerCall::Report {
                 account: account.clone(),
                 request: id,
                 reply,
             }),
-            Wanted::Cancel(id) => self.ask(id, |reply| CallerCall::Cancel {
+            AccountRoute::Cancel(id) => self.call_and_wait(id, |reply| CallerCall::Cancel {
                 account: account.clone(),
                 request: id,
                 reply,
@@ -126,13 +127,13 @@
         }
     }
 
-    fn take_completion(
+    fn accept_completion(
         &self,
         form: Form,
         account: &AccountName,
         config: &FleetConfig,
         request: &mut Request,
-    ) -> Result<Taken, Refusal> {
+    ) -> Result<Accepted, Refusal> {
         let headers = CallHeaders {
             class: head::header(request, "X-Work-Class")?.map(str::to_owned),
             idempotency_key: idempotency_key(request)?,
@@ -140,11 +141,11 @@
         let call = self.call_permit()?;
         let body = self.body(config, request)?;
         let decoded = decode::completion(form, &body.bytes, headers, account, config)?;
-        let wants_chunks = decoded.stream && *request.http_version() < tiny_http::HTTPVersion(1, 1);
-        if wants_chunks {
+        let lacks_chunks = decoded.stream && *request.http_version() < tiny_http::HTTPVersion(1, 1);
+        if lacks_chunks {
             return Err(head::invalid("stream: needs HTTP/1.1").into());
         }
-        Ok(Taken::Complete {
+        Ok(Accepted::Complete {
             decoded,
             form,
             permits: Permits {
@@ -154,14 +155,14 @@
         })
     }
 
-    fn take_service(
+    fn accept_service(
         &self,
         service: ServiceName,
         path: Arc<str>,
         account: &AccountName,
         config: &FleetConfig,
         request: &mut Request,
-    ) -> Result<Taken, Refusal> {
+    ) -> Result<Accepted, Refusal> {
         let idempotency_key = idempotency_key(request)?;
         let content_type = head::header(request, "Content-Type")?.map(Arc::from);
         let method = request.method().as_str().into();
@@ -176,7 +177,7 @@
             body: body.bytes,
             idempotency_key,
         };
-        Ok(Taken::Service {
+        Ok(Accepted::Service {
             call,
             permits: Permits {
                 _call: call_permit,
@@ -185,12 +186,12 @@
         })
     }
 
-    fn take_read_on(
+    fn accept_resume(
         &self,
         id: RequestId,
         account: &AccountName,
         request: &Request,
-    ) -> Result<Taken, Refusal> {
+    ) -> Result<Accepted, Refusal> {
         if *request.http_version() < tiny_http::HTTPVersion(1, 1) {
             return Err(head::invalid("a stream needs HTTP/1.1").into());
         }
@@ -211,33 +212,37 @@
             cursor: cursor.map(Arc::from),
         };
         let permit = self.call_permit()?;
-        Ok(Taken::ResumeAnswer { call, form, permit })
+        Ok(Accepted::ResumeAnswer { call, form, permit })
     }
 
-    /// Asks the node for a report and waits for it.
-    fn ask(
+    /// Requests a report from the node and waits for it.
+    fn call_and_wait(
         &self,
         id: RequestId,
         call: impl FnOnce(Reply<RequestReport>) -> CallerCall,
-    ) -> Result<Taken, Refusal> {
+    ) -> Result<Accepted, Refusal> {
         let timeout_ms = self.shared.settings.reply_timeout_ms;
-        let report = calls::ask(timeout_ms, |reply| self.send(call(reply)))?;
+        let report = calls::call_and_wait(timeout_ms, |reply| self.send(call(reply)))?;
         let body = ReportBody::from(&report);
-        Ok(Taken::Nothing(answer::json(200, &body, &id.to_string())))
+        Ok(Accepted::Answered(answer::json(
+            200,
+            &body,
+            &id.to_string(),
+        )))
     }
 
-    /// Starts the work and delivers its events.
-    fn run(&self, request: Request, taken: Taken) {
+    /// Starts the work and writes its events to the caller.
+    fn run(&self, request: Request, accepted: Accepted) {
         let outlet = Outlet::open(request);
-        let delivered = match taken {
-            Taken::Nothing(response) => outlet.respond(response).into(),
-            Taken::Complete {
+        let delivered = match accepted {
+            Accepted::Answered(response) => outlet.respond(response).into(),
+            Accepted::Complete {
                 decoded,
                 form,
                 permits,
             } => self.complete(outlet, decoded, form, permits),
-            Taken::Service { call, permits } => self.call_service(outlet, call, permits),
-            Taken::ResumeAnswer { call, form, permit } => {
+            Accepted::Service { call, permits } => self.call_service(outlet, call, permits),
+            Accepted::ResumeAnswer { call, form, permit } => {
                 self.resume_answer(outlet, call, form, permit)
             }
         };
@@ -252,7 +257,7 @@
         _until_end: Permits,
     ) -> Delivered {
         let (sink, delivery) = self.delivery(Arc::clone(&self.name));
-        let subject = Subject::begun_now(form, Some(decoded.completion.model.clone()));
+        let subject = Subject::beginning_now(form, Some(decoded.completion.model.clone()));
         let call = CallerCall::Complete {
             caller: self.caller,
             completion: decoded.completion,
@@ -282,18 +287,19 @@
         _until_end: Permit,
     ) -> Delivered {
         let (sink, delivery) = self.delivery(call.request.to_string().into());
-        let subject = Subject::begun_now(form, None);
+        let subject = Subject::beginning_now(form, None);
         let caller = self.caller;
         match self.send(CallerCall::ResumeAnswer { caller, call, sink }) {
             Err(error) => {
-                let error = about_earlier(error);
+                let error = for_earlier_request(error);
                 delivery.refuse(outlet, None, error)
             }
             Ok(()) => delivery.stream(outlet, &subject),
         }
     }
 
-    /// A queue for a request's events: the actor's end, and the end that writes to the caller.
+    /// Opens the queue for a request's events. Returns the actor's end and the end that writes to
+    /// the caller.
     fn delivery(&self, request: Arc<str>) -> (Box<dyn CallerSink>, Delivery) {
         let (sink, events) = sink::open();
         let settings = &self.shared.settings;
@@ -306,9 +312,10 @@
         (Box::new(sink), delivery)
     }
 
-    /// Guards against work for nobody: `tiny_http` gives no notice of a hang-up, so the first
-    /// sign is a write that fails; the node then cancels the work, or an engine would go on
-    /// holding memory for an answer that nobody reads.
+    /// Cancels the work of a caller that has disconnected.
+    ///
+    /// `tiny_http` doesn't report a hang-up, so a failed write is the first sign of one. Without
+    /// the cancel, an engine would keep holding memory for an answer that nobody reads.
     fn after(&self, delivered: Delivered) {
         if delivered == Delivered::Whole {
             return;
@@ -316,15 +323,18 @@
         log::info!("{}: the caller hung up or does not read", self.name);
         let caller = self.caller;
         if !self.shared.calls.send(CallerCall::Disconnected { caller }) {
-            log::debug!("{}: the node is gone too", self.name);
+            log::debug!(
+                "{}: the node has stopped, the hang-up is not reported",
+                self.name
+            );
         }
     }
 
-    /// Refuses a call of which nothing was handed to the node.
+    /// Refuses a call of which nothing was sent to the node.
     fn refuse(&self, request: Request, mut refusal: Refusal) {
         log::debug!("{}: refused: {}", self.name, refusal.error);
         if route::names_request(request.url()) {
-            refusal.error = about_earlier(refusal.error);
+            refusal.error = for_earlier_request(refusal.error);
         }
         self.respond(request, answer::refusal(&refusal, &self.name));
     }
@@ -383,11 +393,11 @@
     })
 }
 
-/// The refusal of a call about an earlier request.
+/// Turns the refusal of a call into one about the earlier request that the call names.
 ///
-/// Guards against a false "not run": the caller reads the verdict as that request's, which nobody
-/// asked the node about.
-fn about_earlier(mut error: Error) -> Error {
+/// The caller takes the verdict as that of the earlier request, whose state the node wasn't asked
+/// for. A "not run" would thus be false and becomes `MayHaveRun`.
+fn for_earlier_request(mut error: Error) -> Error {
     if error.verdict == Verdict::NotRun {
         error.verdict = Verdict::MayHaveRun;
     }
--- a/crates/entry/src/callers/mod.rs
+++ b/crates/entry/src/callers/mod.rs
@@ -1,10 +1,10 @@
-//! The callers' interface: completions, plain services, and what became of a request.
+//! The callers' interface: completions, calls of plain services, and reports on requests.
 //!
 //! Terms: a *call* is one HTTP exchange and has a number at this node; a *request* has an identity
-//! in the fleet, given when it is admitted.
+//! in the fleet, which it receives on admission.
 //!
-//! Invariants: a call reaches the node only authenticated, decoded and within the limits; a caller
-//! that hangs up is reported with [`CallerCall::Disconnected`].
+//! Invariants: a call reaches the node only after it was authenticated, decoded and checked against
+//! the limits; a caller that hangs up is reported with [`CallerCall::Disconnected`].
 
 mod decode;
 mod deliver;
@@ -15,12 +15,12 @@
 
 #[doc(hidden)]
 pub mod decoding {
-    //! The decoder, open to tests that feed it hostile input.
+    //! Access to the decoder for tests that feed it hostile input.
 
     use bluebell_base::prelude::*;
     use bluebell_config::FleetConfig;
 
-    /// Decodes a body as both forms of completion; must never panic.
+    /// Decodes a body as each form of completion. It never panics.
     pub fn completion(body: &[u8], config: &FleetConfig) -> [Result<(), Error>; 2] {
         use crate::callers::decode::{CallHeaders, completion};
         use crate::callers::route::Form;
@@ -51,7 +51,7 @@
     shared: Arc<Shared>,
 }
 
-/// What the threads of the interface share.
+/// The state shared by the threads of the interface.
 pub(crate) struct Shared {
     settings: CallersSettings,
     in_force: RwLock<Option<Arc<InForce>>>,
@@ -62,19 +62,21 @@
     body_budget: Budget,
 }
 
-/// The configuration in force, with the accounts' keys in the form they are compared in.
+/// The configuration in force, with the hashes of the accounts' keys in the form used for
+/// comparison.
 pub(crate) struct InForce {
     config: Arc<FleetConfig>,
     keys: Vec<KeyHash>,
 }
 
 impl Callers {
-    /// Listens, and hands calls to `calls` on the actor thread.
+    /// Starts listening and sends calls to `calls` on the actor thread.
     ///
-    /// Until [`Callers::set_config`] every call is refused as not run.
+    /// Every call is refused as not run until [`Callers::set_config`] is called.
     ///
     /// # Errors
-    /// Where the address can't be listened at or the bridge takes no jobs.
+    /// [`BindError::Listen`] if listening at the address fails, [`BindError::Bridge`] if the bridge
+    /// takes no jobs.
     pub fn bind(
         settings: CallersSettings,
         bridge: &Bridge,
@@ -97,12 +99,12 @@
         Ok(Self { listener, shared })
     }
 
-    /// Where it listens.
+    /// Returns the address that the interface listens at.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// Puts a configuration into force here: accounts, models, classes, services, limits.
+    /// Applies a configuration to this interface: accounts, models, classes, services and limits.
     pub fn set_config(&self, config: Arc<FleetConfig>) {
         let in_force = InForce::new(config);
         let mut current = self
@@ -113,22 +115,23 @@
         *current = Some(Arc::new(in_force));
     }
 
-    /// Tells the balancer, through `GET /readyz`, whether to send new calls here.
+    /// Sets the readiness that `GET /readyz` reports to the load balancer, which then sends new
+    /// calls here or stops doing so.
     pub fn set_ready(&self, ready: bool) {
         self.shared.ready.store(ready, Ordering::Release);
     }
 
-    /// The calls for work in progress.
+    /// Returns the number of calls for work in progress.
     pub fn calls_in_progress(&self) -> u64 {
         self.shared.call_budget.taken()
     }
 
-    /// The bytes of request bodies in memory.
+    /// Returns the total size of the request bodies in memory.
     pub fn body_bytes_held(&self) -> Bytes {
         Bytes(self.shared.body_budget.taken())
     }
 
-    /// Stops taking calls; those in progress go on to their end.
+    /// Stops accepting calls. Calls in progress run to completion.
     pub fn stop(self) {
         self.shared.ready.store(false, Ordering::Release);
         self.listener.stop();
@@ -139,15 +142,15 @@
     fn new(config: Arc<FleetConfig>) -> Self {
         let hash = |account: &bluebell_config::Account| {
             let hash = KeyHash::from_hex(&account.key_sha256);
-            // The check of the configuration lets no other text through; a key that nobody has
-            // keeps the positions of the others.
+            // Validation of the configuration accepts only valid hashes. A hash of no account's key
+            // keeps the positions of the other accounts.
             hash.unwrap_or_else(|| KeyHash::of(""))
         };
         let keys = config.accounts.iter().map(hash).collect();
         Self { config, keys }
     }
 
-    /// The account that a credential belongs to.
+    /// Returns the account that a credential belongs to.
     fn account(&self, credential: &str) -> Option<&AccountName> {
         if credential.is_empty() {
             return None;
--- a/crates/entry/src/callers/route.rs
+++ b/crates/entry/src/callers/route.rs
@@ -6,82 +6,91 @@
 use bluebell_config::FleetConfig;
 use tiny_http::Method;
 
-/// How a completion is asked for and answered.
+/// The form of a completion call and its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Form {
-    /// `/v1/completions`.
+    /// The form of `/v1/completions`.
     Text,
-    /// `/v1/chat/completions`.
+    /// The form of `/v1/chat/completions`.
     Chat,
 }
 
-/// What a request asks for.
+/// A route of the callers' interface.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Route {
-    /// Whether the process lives.
+    /// Checks that the process runs.
     Health,
-    /// Whether the node takes new work.
+    /// Checks that the node accepts new work.
     Ready,
-    /// Something that only an account may ask for.
-    ForAccount(Wanted),
+    /// A route that requires an account's key.
+    ForAccount(AccountRoute),
 }
 
-/// What an account asks for.
+/// A route that requires an account's key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Wanted {
-    /// A completion.
+pub(crate) enum AccountRoute {
+    /// Requests a completion.
     Complete(Form),
-    /// The models that can be asked for.
+    /// Lists the models that callers can request.
     Models,
-    /// The state of a request.
+    /// Returns the state of a request.
     Report(RequestId),
-    /// Cancel a request.
+    /// Cancels a request.
     Cancel(RequestId),
-    /// Read a request's events on.
+    /// Resumes reading the events of a request.
     ResumeAnswer(RequestId),
-    /// A plain service, with path and query behind its prefix.
+    /// Calls a plain service.
     Service {
         /// The service.
         service: ServiceName,
-        /// Path and query behind the prefix, beginning with `/`.
+        /// The path and query after the service's prefix, beginning with `/`.
         path: Arc<str>,
     },
 }
 
-impl From<Wanted> for Route {
-    fn from(wanted: Wanted) -> Self {
+impl From<AccountRoute> for Route {
+    fn from(wanted: AccountRoute) -> Self {
         Route::ForAccount(wanted)
     }
 }
 
-/// The paths about requests made earlier.
-const REQUESTS: &str = "/v1/requests/";
+/// The prefix of paths about earlier requests.
+const REQUESTS_PREFIX: &str = "/v1/requests/";
 
-/// Whether a path is about a request made earlier.
+/// Returns true if a path is about an earlier request.
 pub(crate) fn names_request(url: &str) -> bool {
-    url.starts_with(REQUESTS)
+    url.starts_with(REQUESTS_PREFIX)
 }
 
-/// Finds the route.
+/// Finds the route of a method and URL.
 ///
 /// # Errors
-/// 404 for an unknown path, 405 for a known one with another method, 400 for a bad request id.
+/// 404 for an unknown path, 405 for a known path with another method, 400 for a malformed request
+/// id.
 pub(crate) fn find(method: &Method, url: &str, config: &FleetConfig) -> Result<Route, Refusal> {
     let (path, _) = head::split_url(url);
     match path {
-        "/healthz" => only(method, &Method::Get, Route::Health),
-        "/readyz" => only(method, &Method::Get, Route::Ready),
-        "/v1/completions" => only(method, &Method::Post, Wanted::Complete(Form::Text).into()),
-        "/v1/chat/completions" => only(method, &Method::Post, Wanted::Complete(Form::Chat).into()),
-        "/v1/models" => only(method, &Method::Get, Wanted::Models.into()),
-        _ => match path.strip_prefix(REQUESTS) {
+        "/healthz" => require_method(method, &Method::Get, Route::Health),
+        "/readyz" => require_method(method, &Method::Get, Route::Ready),
+        "/v1/completions" => require_method(
+            method,
+            &Method::Post,
+            AccountRoute::Complete(Form::Text).into(),
+        ),
+        "/v1/chat/completions" => require_method(
+            method,
+            &Method::Post,
+            AccountRoute::Complete(Form::Chat).into(),
+        ),
+        "/v1/models" => require_method(method, &Method::Get, AccountRoute::Models.into()),
+        _ => match path.strip_prefix(REQUESTS_PREFIX) {
             Some(rest) => find_request(method, rest),
             None => find_service(url, config),
         },
     }
 }
 
-fn only(method: &Method, wanted: &Method, route: Route) -> Result<Route, Refusal> {
+fn require_method(method: &Method, wanted: &Method, route: Route) -> Result<Route, Refusal> {
     if method == wanted {
         return Ok(route);
     }
@@ -103,10 +112,10 @@
     let parsed = id.parse::<RequestId>();
     let request = parsed.map_err(|error| head::invalid(error.to_string()))?;
     match (tail, method) {
-        (None, Method::Get) => Ok(Wanted::Report(request).into()),
-        (None, Method::Delete) => Ok(Wanted::Cancel(request).into()),
+        (None, Method::Get) => Ok(AccountRoute::Report(request).into()),
+        (None, Method::Delete) => Ok(AccountRoute::Cancel(request).into()),
         (None, _) => Err(not_allowed("GET and DELETE")),
-        (Some("events"), Method::Get) => Ok(Wanted::ResumeAnswer(request).into()),
+        (Some("events"), Method::Get) => Ok(AccountRoute::ResumeAnswer(request).into()),
         (Some("events"), _) => Err(not_allowed("GET")),
         (Some(_), _) => Err(unknown_path()),
     }
@@ -115,7 +124,7 @@
 fn find_service(url: &str, config: &FleetConfig) -> Result<Route, Refusal> {
     let services = config.services.iter();
     let found = services
-        .filter_map(|service| Some((service, behind(url, &service.prefix)?)))
+        .filter_map(|service| Some((service, strip_path_prefix(url, &service.prefix)?)))
         .max_by_key(|(service, _)| service.prefix.len());
     let (service, rest) = found.ok_or_else(unknown_path)?;
     let path: Arc<str> = if rest.starts_with('/') {
@@ -124,11 +133,12 @@
         format!("/{rest}").into()
     };
     let service = service.name.clone();
-    Ok(Wanted::Service { service, path }.into())
+    Ok(AccountRoute::Service { service, path }.into())
 }
 
-/// What stands behind a prefix that ends at a path segment's end.
-fn behind<'a>(url: &'a str, prefix: &str) -> Option<&'a str> {
+/// Returns the rest of a URL after a prefix. Returns `None` unless the prefix ends at the end of a
+/// path segment.
+fn strip_path_prefix<'a>(url: &'a str, prefix: &str) -> Option<&'a str> {
     let rest = url.strip_prefix(prefix)?;
     let at_end = rest.is_empty() || rest.starts_with('/') || rest.starts_with('?');
     at_end.then_some(rest)
--- a/crates/entry/src/calls.rs
+++ b/crates/entry/src/calls.rs
@@ -1,4 +1,4 @@
-//! The way of calls from I/O threads to an actor, and of the answers back.
+//! Passes calls from I/O threads to an actor and returns the answers.
 
 use crate::Reply;
 use crate::settings::BindError;
@@ -8,19 +8,23 @@
 use stakker::Fwd;
 use std::time::Duration;
 
-/// How long an I/O thread of the bridge may take to start.
+/// The longest wait for an I/O thread of the bridge to start.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Opens a sender, for use by any thread, whose calls reach `fwd` on the actor thread.
+/// Opens a sender that any thread can use and whose calls reach `fwd` on the actor thread.
+///
+/// # Errors
+/// `BindError::Bridge` if the bridge takes no more jobs or doesn't start this one within
+/// [`START_TIMEOUT`].
 pub(crate) fn open_calls<T: Send + 'static>(
     bridge: &Bridge,
     fwd: Fwd<T>,
 ) -> Result<EventSender<T>, BindError> {
     let (out, sender) = bounded(1);
-    // The job only hands its sender out, so that no I/O thread is held.
+    // The job ends as soon as it has passed its sender on, so it doesn't occupy an I/O thread.
     let hand_out = move |sender| {
         if out.send(sender).is_err() {
-            log::error!("an interface opened too late and was given up");
+            log::error!("the bridge opened a sender after the start timeout; it is not used");
         }
     };
     if !bridge.stream(hand_out, fwd) {
@@ -30,17 +34,17 @@
     received.map_err(|_| BindError::Bridge)
 }
 
-/// Hands a call to the node with `send` and waits for its answer.
+/// Sends a call to the node with `send` and waits for the answer.
 ///
 /// # Errors
-/// Those of `send` and of the answer; `DeadlineExceeded` where none came in time.
-pub(crate) fn ask<T: Send + 'static>(
+/// Errors of `send` and of the answer. `DeadlineExceeded` if no answer arrives within `timeout_ms`.
+pub(crate) fn call_and_wait<T: Send + 'static>(
     timeout_ms: SpanMs,
     send: impl FnOnce(Reply<T>) -> Result<(), Error>,
 ) -> Result<T, Error> {
     let (out, answered) = bounded(1);
     send(Box::new(move |result| {
-        // Whoever waited too long has been answered already.
+        // Fails if the wait has timed out. The caller has then received that error.
         let _ = out.try_send(result);
     }))?;
     answered
--- a/crates/entry/src/http/answer.rs
+++ b/crates/entry/src/http/answer.rs
@@ -1,11 +1,11 @@
-//! Answers: status codes, error bodies and the headers all answers share.
+//! Builds answers: status codes, error bodies and the headers that all answers share.
 
 use bluebell_base::prelude::*;
 use serde::Serialize;
 use std::io::Cursor;
 use tiny_http::{Header, Response, StatusCode};
 
-/// A whole answer with its body.
+/// A complete answer with its body.
 pub(crate) type Whole = Response<Cursor<Vec<u8>>>;
 
 /// The media type of JSON.
@@ -16,7 +16,7 @@
 pub(crate) struct Refusal {
     /// The HTTP status code.
     pub(crate) status: u16,
-    /// Why, with the verdict.
+    /// The error, with its verdict.
     pub(crate) error: Error,
 }
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// The HTTP status code of a kind of failure.
+/// Returns the HTTP status code of a kind of error.
 pub(crate) fn status_of(kind: ErrorKind) -> u16 {
     match kind {
         ErrorKind::Invalid => 400,
@@ -45,7 +45,7 @@
     }
 }
 
-/// An error as callers read it.
+/// The JSON body of an error.
 #[derive(Debug, Serialize)]
 pub(crate) struct ErrorBody<'a> {
     error: ErrorFields<'a>,
@@ -62,7 +62,7 @@
 }
 
 impl<'a> ErrorBody<'a> {
-    /// The body for a failure of a request.
+    /// Returns the body for an error of a request.
     pub(crate) fn new(error: &'a Error, request: &'a str) -> Self {
         Self {
             error: ErrorFields {
@@ -76,9 +76,9 @@
     }
 }
 
-/// A header; a value with characters that no header may have is left out.
+/// Returns a header. Returns `None` for a value with characters that no header may contain.
 pub(crate) fn header(name: &'static str, value: &str) -> Option<Header> {
-    // A line break in a value would let it add headers of its own.
+    // A line break in a value would allow it to add further headers.
     let plain = value.bytes().all(|b| (b' '..=b'~').contains(&b));
     if !plain {
         return None;
@@ -98,17 +98,18 @@
     }
 }
 
-/// The text of a value as JSON.
+/// Returns a value as JSON text.
 pub(crate) fn json_text<T: Serialize>(value: &T) -> String {
-    // Only maps with keys that aren't texts and failing hand-written impls can fail, and there
-    // are none; should one come, the caller gets an empty object and the log the reason.
+    // Serialization can fail only for maps whose keys aren't strings and for hand-written impls
+    // that fail; no such type is used here. If it does fail, the caller receives an empty object
+    // and the reason is logged.
     serde_json::to_string(value).unwrap_or_else(|error| {
         log::error!("an answer can't be written as JSON: {error}");
         "{}".into()
     })
 }
 
-/// An answer with a body of the given type; `request` identifies it in body, header and log.
+/// Returns an answer with a body of the given media type. `request` is sent as the request id.
 pub(crate) fn whole(status: u16, media_type: Option<&str>, body: Vec<u8>, request: &str) -> Whole {
     let response = Response::from_data(body).with_status_code(StatusCode(status));
     let response = with_header(response, "X-Request-Id", request);
@@ -118,12 +119,12 @@
     }
 }
 
-/// A JSON answer.
+/// Returns an answer with a JSON body.
 pub(crate) fn json<T: Serialize>(status: u16, value: &T, request: &str) -> Whole {
     whole(status, Some(JSON), json_text(value).into_bytes(), request)
 }
 
-/// The answer to a refused or failed request.
+/// Returns the answer to a refused or failed request.
 pub(crate) fn refusal(refusal: &Refusal, request: &str) -> Whole {
     let body = ErrorBody::new(&refusal.error, request);
     let response = json(refusal.status, &body, request);
--- a/crates/entry/src/http/body.rs
+++ b/crates/entry/src/http/body.rs
@@ -1,41 +1,42 @@
-//! Reading request bodies within limits.
+//! Reads request bodies within limits.
 //!
-//! Invariants: a body over the limit is refused by its declared length before any of it is read,
-//! and one without a declared length as soon as the limit is passed; every byte held is paid for
-//! from the budget of all connections first.
+//! Invariants: a body whose declared length is over the limit is refused before any of it is read,
+//! and one without a declared length as soon as it exceeds the limit; every byte is taken from the
+//! budget of all connections before it is held.
 
 use crate::http::limits::{Budget, Permit};
 use bluebell_base::prelude::*;
 use std::io::Read;
 use tiny_http::Request;
 
-/// The bytes read at a time where the length isn't declared.
-const PIECE_BYTES: usize = 64 * 1024;
+/// The number of bytes per read if the length isn't declared.
+const READ_BYTES: usize = 64 * 1024;
 
-/// A body and its part of the budget.
+/// A body and its permit from the budget.
 #[derive(Debug)]
 pub(crate) struct Body {
     /// The bytes.
     pub(crate) bytes: Vec<u8>,
-    /// Kept as long as the bytes, or what was decoded from them, are in memory.
+    /// The permit for the bytes, kept while they, or what was decoded from them, are in memory.
     pub(crate) permit: Permit,
 }
 
-/// Limits of one body.
+/// The limits that apply to one body.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BodyLimits<'a> {
-    /// The largest body.
+    /// The maximum size of the body.
     pub(crate) body_bytes: Bytes,
     /// The budget of all bodies.
     pub(crate) budget: &'a Budget,
-    /// What a caller refused for lack of budget is told.
+    /// The `Retry-After` time sent to a caller that is refused because the budget is exhausted.
     pub(crate) retry_after_ms: SpanMs,
 }
 
 /// Reads a request's body.
 ///
 /// # Errors
-/// `TooLarge`, `Unavailable` where the budget is used up, `Invalid` where it ends early.
+/// `TooLarge` if the body is over the limit, `Unavailable` if the budget is exhausted, `Invalid` if
+/// the body ends early or can't be read.
 pub(crate) fn read(request: &mut Request, limits: BodyLimits<'_>) -> Result<Body, Error> {
     let declared = request.body_length();
     if declared.is_some_and(|length| length as u64 > limits.body_bytes.0) {
@@ -43,7 +44,7 @@
     }
     let reserved = declared.unwrap_or(0);
     let permit = limits.budget.take(reserved as u64);
-    let permit = permit.ok_or_else(|| used_up(limits.retry_after_ms))?;
+    let permit = permit.ok_or_else(|| budget_exhausted(limits.retry_after_ms))?;
     let body = Body {
         bytes: Vec::with_capacity(reserved),
         permit,
@@ -57,7 +58,7 @@
 fn read_declared(request: &mut Request, mut body: Body, length: usize) -> Result<Body, Error> {
     let reader = request.as_reader();
     let read = reader.take(length as u64).read_to_end(&mut body.bytes);
-    read.map_err(broken)?;
+    read.map_err(unreadable_body)?;
     if body.bytes.len() < length {
         let message = "the body ended before its Content-Length";
         return Err(Error::not_run(ErrorKind::Invalid, message));
@@ -70,10 +71,10 @@
     mut body: Body,
     limits: BodyLimits<'_>,
 ) -> Result<Body, Error> {
-    let mut piece = vec![0; PIECE_BYTES];
+    let mut piece = vec![0; READ_BYTES];
     let reader = request.as_reader();
     loop {
-        let count = reader.read(&mut piece).map_err(broken)?;
+        let count = reader.read(&mut piece).map_err(unreadable_body)?;
         if count == 0 {
             return Ok(body);
         }
@@ -81,7 +82,7 @@
             return Err(too_large(limits.body_bytes));
         }
         if !body.permit.grow(count as u64) {
-            return Err(used_up(limits.retry_after_ms));
+            return Err(budget_exhausted(limits.retry_after_ms));
         }
         body.bytes.extend_from_slice(&piece[..count]);
     }
@@ -92,12 +93,12 @@
     Error::not_run(ErrorKind::TooLarge, message)
 }
 
-fn used_up(retry_after_ms: SpanMs) -> Error {
+fn budget_exhausted(retry_after_ms: SpanMs) -> Error {
     let message = "the memory for request bodies is used up";
     Error::not_run(ErrorKind::Unavailable, message).retry_after(retry_after_ms)
 }
 
-fn broken(error: std::io::Error) -> Error {
+fn unreadable_body(error: std::io::Error) -> Error {
     Error::not_run(
         ErrorKind::Invalid,
         format!("the body can't be read: {error}"),
--- a/crates/entry/src/http/credentials.rs
+++ b/crates/entry/src/http/credentials.rs
@@ -1,7 +1,7 @@
-//! Bearer credentials, compared in constant time.
+//! Compares bearer credentials in constant time.
 //!
-//! Invariants: a credential is compared by its SHA-256 with every known one, with no early exit,
-//! so that the time taken tells neither which one nearly matched nor where it stands; neither
+//! Invariants: the SHA-256 of a credential is compared with every known hash, without an early
+//! exit, so that the duration reveals neither which hash nearly matched nor its position; neither
 //! the credential nor its hash is logged.
 
 use sha2::{Digest, Sha256};
@@ -9,18 +9,18 @@
 
 /// The SHA-256 of a credential.
 ///
-/// It has neither `PartialEq` nor `Debug`: the only comparison there is takes constant time, and
-/// nothing can print it.
+/// It implements neither `PartialEq` nor `Debug`, so that it can only be compared in constant time
+/// and can't be printed.
 #[derive(Clone, Copy)]
 pub(crate) struct KeyHash([u8; 32]);
 
 impl KeyHash {
-    /// The hash of a credential.
+    /// Returns the hash of a credential.
     pub(crate) fn of(credential: &str) -> Self {
         Self(Sha256::digest(credential.as_bytes()).into())
     }
 
-    /// The hash written as 64 hexadecimal digits.
+    /// Parses a hash from 64 hexadecimal digits. Returns `None` for any other text.
     pub(crate) fn from_hex(hex: &str) -> Option<Self> {
         if hex.len() != 64 || !hex.is_ascii() {
             return None;
@@ -32,13 +32,14 @@
         Some(Self(bytes))
     }
 
-    /// Whether both are equal, in constant time.
+    /// Compares both hashes in constant time.
     pub(crate) fn same(&self, other: &Self) -> Choice {
         self.0.ct_eq(&other.0)
     }
 }
 
-/// The index of the known hash equal to `hash`; looks at all of them whatever it finds.
+/// Returns the index of the known hash that equals `hash`. Compares with all of them, even after a
+/// match.
 pub(crate) fn find(known: &[KeyHash], hash: &KeyHash) -> Option<usize> {
     let mut found = Choice::from(0);
     let mut index = 0u64;
--- a/crates/entry/src/http/head.rs
+++ b/crates/entry/src/http/head.rs
@@ -1,19 +1,20 @@
-//! Reading a request's head: headers, query and credential, with precise refusals.
+//! Reads a request's head: headers, query and credential. Each refusal names its reason.
 
 use crate::http::answer::Refusal;
 use bluebell_base::prelude::*;
 use tiny_http::Request;
 
-/// The most bytes that all headers of a request may have together.
+/// The maximum total size of a request's headers, in bytes.
 const HEADER_BYTES: usize = 32 * 1024;
 
-/// The most bytes that path and query may have.
+/// The maximum length of path and query, in bytes.
 const URL_BYTES: usize = 8 * 1024;
 
-/// The value of a header; an error where it is given twice with different values.
+/// Returns the value of a header.
 ///
-/// A header given twice is read by different programs in different ways, and the one in front of
-/// the node may have read the other value.
+/// # Errors
+/// `Invalid` if the header is given twice with different values. Programs differ in which of the
+/// two they read, and a proxy in front of the node may have read the other one.
 pub(crate) fn header<'a>(
     request: &'a Request,
     name: &'static str,
@@ -32,12 +33,12 @@
     Ok(Some(first))
 }
 
-/// A malformed request.
+/// Returns the error for a malformed request.
 pub(crate) fn invalid(message: impl Into<Arc<str>>) -> Error {
     Error::not_run(ErrorKind::Invalid, message)
 }
 
-/// The credential of `Authorization: Bearer`.
+/// Returns the credential from `Authorization: Bearer`.
 pub(crate) fn bearer(request: &Request) -> Result<&str, Error> {
     let wanted = || {
         let message = "a credential is needed: Authorization: Bearer <key>";
@@ -51,7 +52,7 @@
     Ok(credential.trim())
 }
 
-/// Path and query of a request.
+/// Splits a URL into path and query.
 pub(crate) fn split_url(url: &str) -> (&str, Option<&str>) {
     match url.split_once('?') {
         Some((path, query)) => (path, Some(query)),
@@ -59,7 +60,7 @@
     }
 }
 
-/// The value of a query parameter, as written.
+/// Returns the value of a query parameter, without decoding it.
 pub(crate) fn query_value<'a>(query: Option<&'a str>, name: &str) -> Option<&'a str> {
     let pairs = query?.split('&').filter_map(|pair| pair.split_once('='));
     pairs
@@ -68,10 +69,11 @@
         .next()
 }
 
-/// Refuses heads whose body can't be told apart from the next request, and oversized ones.
+/// Refuses heads that are too large, and heads that don't define where the body ends and the next
+/// request begins.
 ///
 /// # Errors
-/// With the status code to answer.
+/// The refusal, with the status code to answer with.
 pub(crate) fn check(request: &Request) -> Result<(), Refusal> {
     let headers = request.headers().iter();
     let header_bytes: usize = headers
@@ -96,10 +98,10 @@
     Ok(check_framing(request)?)
 }
 
-/// Guards against request smuggling: where two programs on the way disagree about a body's end,
+/// Guards against request smuggling: if two programs on the path disagree about the end of a body,
 /// the rest of one caller's body is read as the next request. `tiny_http` takes the first of
-/// several lengths, ignores one that isn't a number, and prefers the transfer coding; so every
-/// head that leaves a choice is refused.
+/// several lengths, ignores a length that isn't a number, and prefers the transfer coding. Every
+/// head that is ambiguous is thus refused.
 fn check_framing(request: &Request) -> Result<(), Error> {
     let length = header(request, "Content-Length")?;
     let coding = header(request, "Transfer-Encoding")?;
@@ -117,7 +119,7 @@
     if coding.is_some_and(|coding| !coding.eq_ignore_ascii_case("chunked")) {
         return Err(invalid("the only transfer coding understood is chunked"));
     }
-    // With an upgrade the library would take all that follows on the connection for the body.
+    // After an upgrade the library would treat all further bytes of the connection as the body.
     let mut connections = request
         .headers()
         .iter()
--- a/crates/entry/src/http/limits.rs
+++ b/crates/entry/src/http/limits.rs
@@ -1,11 +1,11 @@
-//! Limits over all connections: calls in progress and bytes of bodies in memory.
+//! Limits across all connections: calls in progress and bytes of bodies in memory.
 //!
-//! Invariants: what a permit took is given back exactly once, when it is dropped.
+//! Invariants: the amount that a permit took is returned exactly once, when the permit is dropped.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A quantity of which only so much may be taken at once; cheap to clone.
+/// A limited quantity that permits are taken from. It is cheap to clone.
 #[derive(Clone, Debug)]
 pub(crate) struct Budget {
     taken: Arc<AtomicU64>,
@@ -13,7 +13,7 @@
 }
 
 impl Budget {
-    /// A budget of `limit` units.
+    /// Returns a budget of `limit` units.
     pub(crate) fn open(limit: u64) -> Self {
         Self {
             taken: Arc::default(),
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Takes `amount`, or nothing where that would go over the limit.
+    /// Takes `amount` units. Returns `None` and takes nothing if that would exceed the limit.
     pub(crate) fn take(&self, amount: u64) -> Option<Permit> {
         let add = |taken: u64| {
             let sum = taken.checked_add(amount)?;
@@ -36,13 +36,13 @@
         })
     }
 
-    /// What is taken now.
+    /// Returns the number of units that are taken.
     pub(crate) fn taken(&self) -> u64 {
         self.taken.load(Ordering::Acquire)
     }
 }
 
-/// A part of a budget, given back on drop.
+/// A part of a budget that is returned when the permit is dropped.
 #[derive(Debug)]
 pub(crate) struct Permit {
     budget: Budget,
@@ -50,7 +50,8 @@
 }
 
 impl Permit {
-    /// Takes `amount` more into this permit; `false` where that would go over the limit.
+    /// Adds `amount` units to this permit. Returns `false` and takes nothing if that would exceed
+    /// the limit.
     pub(crate) fn grow(&mut self, amount: u64) -> bool {
         let Some(mut more) = self.budget.take(amount) else {
             return false;
--- a/crates/entry/src/http/listener.rs
+++ b/crates/entry/src/http/listener.rs
@@ -1,4 +1,5 @@
-//! Listening with `tiny_http`: the socket's options, the thread that takes requests, and stopping.
+//! Listens with `tiny_http`: sets the socket's options, receives requests on a thread of its own,
+//! and stops.
 
 use crate::http::workers::Workers;
 use crate::settings::BindError;
@@ -12,29 +13,29 @@
 use std::time::Duration;
 use tiny_http::{Request, Server};
 
-/// How long the taking thread waits after the system refused a connection.
-const AFTER_ACCEPT_ERROR: Duration = Duration::from_millis(200);
+/// The pause of the receiving thread after the system failed to accept a connection.
+const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(200);
 
-/// How many connections may wait to be accepted.
+/// The maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
 
-/// How long a connection is silent before the system probes it.
+/// The silence on a connection after which the system probes it.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(30);
 
-/// The time between two probes of a silent connection.
+/// The interval between two probes of a silent connection.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// How many probes may go unanswered.
+/// The number of unanswered probes after which a connection is closed.
 const KEEPALIVE_PROBES: u32 = 3;
 
-/// Handles a request on a worker thread.
+/// A function that handles a request on a worker thread.
 pub(crate) type Handler = Arc<dyn Fn(Request) + Send + Sync>;
 
 /// A listening interface.
 pub(crate) struct Listener {
     address: SocketAddr,
     shared: Arc<Shared>,
-    takers: Vec<JoinHandle<()>>,
+    receivers: Vec<JoinHandle<()>>,
 }
 
 struct Shared {
@@ -48,7 +49,7 @@
 }
 
 impl Listener {
-    /// Listens at `address` and hands requests to `handler`.
+    /// Listens at `address` and passes requests to `handler`.
     pub(crate) fn bind(
         name: &'static str,
         address: &Address,
@@ -71,20 +72,20 @@
             pool_guard: PoolGuard::spawn(bound).map_err(|e| failed(e.to_string()))?,
             servers: Default::default(),
         });
-        let taker = Shared::serve(&shared).map_err(|e| failed(e.to_string()))?;
+        let receiver = Shared::serve(&shared).map_err(|e| failed(e.to_string()))?;
         Ok(Self {
             address: bound,
             shared,
-            takers: vec![taker],
+            receivers: vec![receiver],
         })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens at.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops taking requests; those in progress go on.
+    /// Stops accepting requests. Requests in progress continue.
     pub(crate) fn stop(self) {
         self.shared.stopping.store(true, Ordering::Release);
         let mut servers = self
@@ -96,9 +97,9 @@
             server.unblock();
         }
         drop(servers);
-        for taker in self.takers {
-            if taker.join().is_err() {
-                log::error!("the thread that takes requests panicked");
+        for receiver in self.receivers {
+            if receiver.join().is_err() {
+                log::error!("the thread that receives requests panicked");
             }
         }
     }
@@ -106,13 +107,13 @@
 
 /// Sets the options that accepted connections inherit from the listening socket.
 ///
-/// - No delay: without it a small event waits for the acknowledgement of the one before.
-/// - Write timeout: `tiny_http` sets none and hands no socket out, so a caller that stops reading
-///   would hold its thread for good; a write that times out counts as a hang-up.
-/// - Keepalive: there is no read timeout either, so a caller whose VM vanishes in the middle of its
-///   upload would hold its part of the limits for good; the system's probes end the connection.
-/// - Backlog: the standard library's is 128; callers beyond it in a burst would wait a second and
-///   more for their next try to connect.
+/// - No delay: without it a small event waits until the previous one is acknowledged.
+/// - Write timeout: `tiny_http` sets none and doesn't expose the socket, so a caller that stops
+///   reading would hold its thread forever. A write that times out counts as a hang-up.
+/// - Keepalive: there is no read timeout either, so a caller whose VM vanishes during its upload
+///   would hold its part of the limits forever. The system's probes end the connection.
+/// - Backlog: the standard library sets 128. In a burst, callers beyond that would wait a second or
+///   more before their next connection attempt.
 fn set_options(socket: &TcpListener, write_timeout_ms: SpanMs) -> std::io::Result<()> {
     let options = SockRef::from(socket);
     options.listen(BACKLOG)?;
@@ -121,7 +122,8 @@
     options.set_write_timeout(Some(write_timeout_ms.into()))
 }
 
-/// A connection that answers no probe is given up a minute after its last byte.
+/// Returns the keepalive settings. A connection that answers no probe is closed one minute after
+/// its last byte.
 fn keepalive() -> TcpKeepalive {
     TcpKeepalive::new()
         .with_time(KEEPALIVE_IDLE)
@@ -130,7 +132,7 @@
 }
 
 impl Shared {
-    /// Starts a server on the socket, and the thread that takes its requests.
+    /// Starts a server on the socket and the thread that receives its requests.
     fn serve(shared: &Arc<Shared>) -> std::io::Result<JoinHandle<()>> {
         let socket = shared.socket.try_clone()?;
         let server = Server::from_listener(socket, None).map_err(std::io::Error::other)?;
@@ -141,35 +143,36 @@
         let own = Arc::clone(shared);
         thread::Builder::new()
             .name(shared.name.into())
-            .spawn(move || own.take_all(&server))
+            .spawn(move || own.receive_all(&server))
     }
 
-    fn take_all(self: &Arc<Self>, server: &Server) {
+    fn receive_all(self: &Arc<Self>, server: &Server) {
         while !self.stopping.load(Ordering::Acquire) {
             match server.recv() {
-                Ok(request) => self.hand_over(request),
-                Err(error) => self.after_error(&error),
+                Ok(request) => self.dispatch(request),
+                Err(error) => self.restart_after_error(&error),
             }
         }
     }
 
-    fn hand_over(&self, request: Request) {
+    fn dispatch(&self, request: Request) {
         self.pool_guard.on_request();
         let handler = Arc::clone(&self.handler);
         self.workers.run(Box::new(move || handler(request)));
     }
 
-    /// Guards against deafness: `tiny_http` ends its accepting thread for good at the first error
-    /// of `accept`, such as too many open files, and the node would never take a connection
-    /// again. A new server on the same socket accepts; this one goes on with the connections it
-    /// has.
-    fn after_error(self: &Arc<Self>, error: &std::io::Error) {
+    /// Starts a new server on the same socket after an error of `accept`.
+    ///
+    /// `tiny_http` ends its accepting thread permanently at the first error of `accept`, such as
+    /// too many open files. Without a new server the node would never accept a connection again.
+    /// The old server continues to serve its open connections.
+    fn restart_after_error(self: &Arc<Self>, error: &std::io::Error) {
         if self.stopping.load(Ordering::Acquire) {
             return;
         }
         log::error!("{}: a connection could not be accepted: {error}", self.name);
         while !self.stopping.load(Ordering::Acquire) {
-            thread::sleep(AFTER_ACCEPT_ERROR);
+            thread::sleep(ACCEPT_ERROR_PAUSE);
             match Shared::serve(self) {
                 Ok(_) => return,
                 Err(error) => log::error!("{}: can't listen again: {error}", self.name),
--- a/crates/entry/src/http/mod.rs
+++ b/crates/entry/src/http/mod.rs
@@ -1,4 +1,5 @@
-//! What both interfaces share: listening, worker threads, bodies, answers, credentials.
+//! The parts that both interfaces share: listening, worker threads, bodies, answers and
+//! credentials.
 
 pub(crate) mod answer;
 pub(crate) mod body;
--- a/crates/entry/src/http/workers.rs
+++ b/crates/entry/src/http/workers.rs
@@ -1,7 +1,7 @@
-//! Threads that handle one request each, started as needed and ended when idle.
+//! Threads that handle one request at a time. They start as needed and end when idle.
 //!
-//! `tiny_http` already runs one thread a connection, each of which waits while its request is
-//! handled; so the number of threads here stays below the number of connections.
+//! `tiny_http` already runs one thread per connection, which waits while its request is handled.
+//! The number of threads here thus stays below the number of connections.
 
 use crossbeam_channel::{Receiver, Sender, TrySendError, bounded};
 use std::thread;
@@ -9,10 +9,10 @@
 
 type Work = Box<dyn FnOnce() + Send>;
 
-/// How long a thread waits for more work before it ends.
-const IDLE: Duration = Duration::from_secs(10);
+/// The time that a thread waits for more work before it ends.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Hands work to idle threads, or starts one.
+/// A set of worker threads. It passes work to an idle thread or starts a new one.
 pub(crate) struct Workers {
     name: &'static str,
     sender: Sender<Work>,
@@ -20,7 +20,7 @@
 }
 
 impl Workers {
-    /// Opens a set with no threads yet.
+    /// Opens a set without threads.
     pub(crate) fn open(name: &'static str) -> Self {
         let (sender, receiver) = bounded(0);
         Self {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Runs `work` on a thread of the set, or on this one where no thread can be had.
+    /// Runs `work` on a thread of the set, or on the calling thread if no thread can be started.
     pub(crate) fn run(&self, work: Work) {
         let work = match self.sender.try_send(work) {
             Ok(()) => return,
@@ -40,20 +40,23 @@
     }
 
     fn start(&self, work: Work) {
-        // The first work waits in a channel, so that it isn't lost where no thread can be had.
+        // The first work is sent through a channel, so that it isn't lost if no thread can be
+        // started.
         let (first, begin) = bounded::<Work>(1);
         let more = self.receiver.clone();
         let body = move || {
             if let Ok(work) = begin.recv() {
                 work();
             }
-            while let Ok(work) = more.recv_timeout(IDLE) {
+            while let Ok(work) = more.recv_timeout(IDLE_TIMEOUT) {
                 work();
             }
         };
         let spawned = thread::Builder::new().name(self.name.into()).spawn(body);
         if let Err(error) = spawned {
-            log::warn!("no thread for a request, it is handled in turn: {error}");
+            log::warn!(
+                "no thread can be started; the request is handled on the receiving thread: {error}"
+            );
             work();
             return;
         }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,7 +1,7 @@
-//! The callers' and the operators' HTTP interfaces, on `tiny_http`, and their codecs.
+//! The HTTP interfaces for callers and operators, built on `tiny_http`, and their codecs.
 //!
-//! Terms: the *callers' interface* takes completions and service calls; the *administration API*
-//! takes the operators' calls on an address of its own.
+//! Terms: the *callers' interface* accepts completions and service calls; the *administration API*
+//! accepts the operators' calls on an address of its own.
 
 mod admin;
 mod callers;
@@ -18,37 +18,38 @@
 use bluebell_base::prelude::*;
 use bluebell_control::{Published, VersionSeen};
 
-/// Takes the answer to an operator's call.
+/// Receives the answer to an operator's call.
 pub type Reply<T> = Box<dyn FnOnce(Result<T, Error>) + Send>;
 
 /// A call from the administration API, already authenticated.
 pub enum AdminCall {
-    /// The configuration in force: version and text.
+    /// Returns the version and text of the configuration in force.
     Config(Reply<ConfigText>),
-    /// The versions that came into force at this node, oldest first.
+    /// Returns the versions that came into force at this node, oldest first.
     History(Reply<Vec<VersionSeen>>),
-    /// Publish a configuration based on a version.
+    /// Publishes a configuration that is based on a given version.
     Publish {
-        /// The version it was based on.
+        /// The version that the configuration is based on.
         base: ConfigVersion,
-        /// Its text, already checked.
+        /// The JSON text of the configuration, already validated.
         body: Arc<str>,
-        /// Takes the answer.
+        /// Receives the answer.
         reply: Reply<Published>,
     },
-    /// Stop gracefully: no new work, finish what runs, hand duties over, exit.
+    /// Stops the node gracefully: it accepts no new work, finishes running work, hands its duties
+    /// over and exits.
     Drain(Reply<()>),
-    /// The state of the process, as JSON text.
+    /// Returns the state of the process as JSON text.
     Dump(Reply<Arc<str>>),
-    /// Who is there, as JSON text.
+    /// Returns the known nodes and upstreams as JSON text.
     Fleet(Reply<Arc<str>>),
-    /// Whether the node takes new work; an error says why not.
+    /// Checks that the node accepts new work. The error gives the reason if it doesn't.
     Ready(Reply<()>),
-    /// The metrics in the Prometheus text format.
+    /// Returns the metrics in the Prometheus text format.
     Metrics(Reply<Arc<str>>),
 }
 
-/// A configuration's version and text.
+/// The version and text of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct ConfigText {
     /// The version.
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of both interfaces, already checked by the node.
+//! The settings of both interfaces. The node validates them beforehand.
 
 use bluebell_base::prelude::*;
 
@@ -7,20 +7,25 @@
 pub struct CallersSettings {
     /// Where to listen, `ip:port`; port 0 lets the system choose.
     pub address: Address,
-    /// The calls for work that may be in progress at once; one over it is refused as not run.
+    /// The maximum number of calls for work in progress at once. Further calls are refused as not
+    /// run.
     pub max_calls: usize,
-    /// The bytes of request bodies held in memory over all calls, as long as those last.
+    /// The maximum total size of the request bodies in memory. Each body counts until its call
+    /// ends.
     pub max_body_bytes: Bytes,
-    /// After how much silence a stream gets a comment, which also finds callers that hung up.
+    /// The silence on a stream after which a comment is sent. Writing it also detects callers that
+    /// hung up.
     pub keep_alive_ms: SpanMs,
-    /// After how much silence a caller that waits for a whole answer gets an interim response
-    /// (`100 Continue`), which also finds callers that hung up; none: never.
+    /// The silence after which a caller that waits for a whole answer is sent an interim response
+    /// (`100 Continue`). Writing it also detects callers that hung up. `None` sends no interim
+    /// responses.
     pub interim_ms: Option<SpanMs>,
-    /// How long a write to a caller that doesn't read may take before the caller counts as gone.
+    /// The timeout of a write to a caller that doesn't read. The caller then counts as
+    /// disconnected.
     pub write_timeout_ms: SpanMs,
-    /// How long the node may take to answer a report or cancel call.
+    /// The timeout of the node's answer to a report or cancel call.
     pub reply_timeout_ms: SpanMs,
-    /// What refused callers are told as the time to come back.
+    /// The `Retry-After` time sent to refused callers.
     pub retry_after_ms: SpanMs,
 }
 
@@ -47,9 +52,9 @@
     pub address: Address,
     /// The operators' bearer credential.
     pub credential: Arc<str>,
-    /// The largest request body.
+    /// The maximum size of a request body.
     pub body_bytes: Bytes,
-    /// How long the node may take to answer.
+    /// The timeout of the node's answer to a call.
     pub reply_timeout_ms: SpanMs,
 }
 
@@ -65,7 +70,7 @@
     }
 }
 
-// Written by hand so that the credential can't reach a log.
+// Implemented by hand so that the credential isn't printed in a log.
 impl std::fmt::Debug for AdminSettings {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("AdminSettings")
@@ -76,18 +81,18 @@
     }
 }
 
-/// Why an interface could not be opened.
+/// An error that prevented an interface from opening.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BindError {
-    /// The address can't be listened at.
+    /// Listening at the address failed.
     #[error("can't listen at {address}: {reason}")]
     Listen {
         /// The address.
         address: Address,
-        /// The system's reason.
+        /// The error text of the operating system.
         reason: Arc<str>,
     },
-    /// The bridge takes no more jobs, or its node is gone.
+    /// The bridge takes no more jobs, or its node has stopped.
     #[error("the bridge to the node takes no calls")]
     Bridge,
 }
--- a/crates/entry/tests/admin.rs
+++ b/crates/entry/tests/admin.rs
@@ -11,7 +11,7 @@
 
 const EXAMPLE: &str = include_str!("../../../examples/fleet.json");
 
-/// Answers every call as a node with version 3 in force would.
+/// Answers each call like a node that has version 3 in force.
 fn answer(call: AdminCall) {
     let text = |version| ConfigText {
         version: ConfigVersion(version),
@@ -184,7 +184,7 @@
     );
 }
 
-/// Settings end up in logs and state dumps; the credential must not.
+/// Settings are printed in logs and state dumps, which must not contain the credential.
 #[test]
 fn settings_print_without_the_credential() {
     let settings = AdminSettings::at(Address::from("127.0.0.1:0"), CREDENTIAL.into());
--- a/crates/entry/tests/bursts.rs
+++ b/crates/entry/tests/bursts.rs
@@ -1,19 +1,19 @@
-//! Many connections at once.
+//! Many simultaneous connections.
 
 mod support;
 
 use std::thread;
 use support::*;
 
-/// The connections of a burst.
+/// The number of connections in a burst.
 const CONNECTIONS: usize = 200;
 
-/// A node comes back and all clients connect at once and keep their connections open, as
-/// balancers do. Some callers wait with no answer until somebody else hangs up: the library's
-/// thread pool counts threads that it has woken already as idle, and queues more connections for
-/// them than they can take.
+/// A node restarts, and all clients connect at once and keep their connections open, as load
+/// balancers do. Guards against callers that receive no answer until another one hangs up: the
+/// library's thread pool counts threads that it has already woken as idle, and queues more
+/// connections for them than they can serve.
 #[test]
-fn a_burst_of_lasting_connections_leaves_nobody_waiting() {
+fn burst_of_persistent_connections_is_answered() {
     let node = Node::callers(|_| ());
     let address = node.address;
     for _ in 0..5 {
--- a/crates/entry/tests/calls.rs
+++ b/crates/entry/tests/calls.rs
@@ -1,4 +1,4 @@
-//! The callers' interface over a real socket: requests and their answers, in tables.
+//! Table tests of the callers' interface over a real socket: requests and their answers.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use std::thread::{self, JoinHandle};
 use support::*;
 
-/// A node whose calls are answered by a script: the prompt says what becomes of a completion.
+/// A node whose calls are answered by a script. The prompt selects the outcome of a completion.
 struct Scripted {
     node: Node<CallerCall>,
     end: mpsc::Sender<()>,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Sends each request and compares the answers.
+    /// Sends each request and compares the answers with the expected text.
     fn check(&self, cases: &[(&str, Vec<u8>)], wanted: Expect) {
         let lines: String = cases
             .iter()
@@ -475,7 +475,7 @@
 }
 
 #[test]
-fn a_draining_node_tells_the_balancer_at_once() {
+fn draining_node_is_not_ready() {
     let node = Node::callers(|_| ());
     let ready = b"GET /readyz HTTP/1.1\r\nConnection: close\r\n\r\n";
     node.callers.as_ref().expect("it is open").set_ready(false);
--- a/crates/entry/tests/limits.rs
+++ b/crates/entry/tests/limits.rs
@@ -1,4 +1,5 @@
-//! Limits of the callers' interface: bodies, memory for bodies, calls in progress; hostile heads.
+//! Limits of the callers' interface: body size, memory for bodies, calls in progress, and hostile
+//! request heads.
 
 mod support;
 
@@ -22,18 +23,17 @@
     text.into_bytes()
 }
 
-/// Waits until what the calls hold of the limits has been given back.
+/// Waits until the calls have released their permits.
 fn await_released(node: &Node<CallerCall>) {
     let callers = node.callers.as_ref().expect("it is open");
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while callers.calls_in_progress() > 0 || callers.body_bytes_held() > Bytes::ZERO {
-        assert!(Instant::now() < end, "the limits were not given back");
+        assert!(Instant::now() < end, "the permits were not released");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A body over the limit is refused by its declared length: the answer is there before any of
-/// the body was sent.
+/// A body whose declared length is over the limit is refused before any of the body is sent.
 #[test]
 fn a_declared_body_over_the_limit_is_refused_unread() {
     let node = Node::callers(|_| ());
@@ -43,7 +43,7 @@
     await_released(&node);
 }
 
-/// A body without a declared length is refused once the limit is passed.
+/// A body without a declared length is refused once it exceeds the limit.
 #[test]
 fn a_chunked_body_over_the_limit_is_refused() {
     let node = Node::callers(|_| ());
@@ -75,10 +75,10 @@
     assert_eq!(&*completion.prompt, "hi");
 }
 
-/// One head that declares more than the machine has must not end the process: the library would
-/// allocate all of it when it reads the undelivered rest over.
+/// A head that declares a larger body than the machine's memory must not end the process. The
+/// library would allocate the whole length when it discards the undelivered rest.
 #[test]
-fn a_declared_body_of_exabytes_is_refused_and_the_node_lives() {
+fn declared_body_of_exabytes_does_not_end_the_node() {
     let node = Node::callers(|_| ());
     for length in [1u64 << 40, i64::MAX as u64, u64::MAX] {
         let raw = head(&format!("Content-Length: {length}\r\n"));
@@ -91,10 +91,10 @@
     assert!(exchange(node.address, health).contains("200"));
 }
 
-/// The memory for all bodies together is used up: the next caller is told at once to come back,
-/// and is served once the first is done.
+/// The memory for all bodies is used up. The next caller is refused at once with a retry time, and
+/// is served once the first call is done.
 #[test]
-fn bodies_over_the_budget_of_all_are_refused() {
+fn bodies_over_the_shared_budget_are_refused() {
     let node = Node::callers(|settings| settings.max_body_bytes = Bytes(150_000));
     let large = request(
         "POST",
@@ -115,7 +115,7 @@
     assert!(matches!(node.next(), CallerCall::Complete { .. }));
 }
 
-/// As many calls as allowed are in progress: the next one is refused at once as not run.
+/// The maximum number of calls is in progress. The next one is refused at once as not run.
 #[test]
 fn calls_over_the_limit_are_refused_at_once() {
     let node = Node::callers(|settings| settings.max_calls = 1);
@@ -130,16 +130,16 @@
     let answer = essence(&exchange(node.address, &request("GET", report, "", "")));
     assert!(
         answer.contains("may_have_run"),
-        "not this call's verdict to give: {answer}"
+        "the state of the earlier request is unknown here: {answer}"
     );
     finish(&*sink, 0);
     assert!(first.read_all().contains("200"));
     await_released(&node);
 }
 
-/// A million tokens are several megabytes; they pass, and memory is given back.
+/// A prompt of a million tokens (several megabytes) is accepted, and its memory is released.
 #[test]
-fn a_prompt_of_a_million_tokens_passes() {
+fn prompt_of_a_million_tokens_is_accepted() {
     let node = Node::callers(|_| ());
     let mut config = config();
     config.limits.body_bytes = Bytes(16 * 1024 * 1024);
@@ -164,10 +164,10 @@
     await_released(&node);
 }
 
-/// A caller dies in the middle of its upload, at a place where what arrived would be a whole
-/// call: nothing reaches the node, nothing stays behind.
+/// A caller crashes during its upload, after bytes that would form a complete call. Nothing reaches
+/// the node, and all permits are released.
 #[test]
-fn a_truncated_body_leaves_nothing_behind() {
+fn truncated_body_releases_its_permits() {
     let node = Node::callers(|_| ());
     let mut raw = head("Content-Length: 150000\r\n");
     raw.extend_from_slice(completion("hi").as_bytes());
@@ -183,7 +183,7 @@
     assert!(node.calls.try_recv().is_err(), "nothing may reach the node");
 }
 
-/// Requests sent one behind the other on a connection are answered in their order.
+/// Requests that are pipelined on a connection are answered in order.
 #[test]
 fn pipelined_requests_are_answered_in_order() {
     let node = Node::callers(|_| ());
@@ -221,7 +221,8 @@
     }
 }
 
-/// Bytes of any kind on the socket: the node answers or closes, and lives.
+/// Arbitrary bytes on the socket: the node answers or closes the connection, and continues to
+/// serve.
 #[test]
 fn hostile_bytes_do_not_end_the_node() {
     let node = Node::callers(|_| ());
@@ -251,10 +252,10 @@
     assert!(exchange(node.address, health).contains("200"));
 }
 
-/// A head that names HTTP/2.0 makes the library's thread of that connection wait for itself, and
-/// the caller gets no answer. It must hold up nobody else.
+/// A head with version HTTP/2.0 blocks the library's thread for that connection, and the caller
+/// receives no answer. Other callers must still be answered.
 #[test]
-fn a_head_of_http_2_holds_up_only_its_own_connection() {
+fn http_2_head_blocks_only_its_own_connection() {
     let node = Node::callers(|_| ());
     let raw = b"GET /healthz HTTP/2.0\r\nConnection: close\r\n\r\n";
     let _waiting: Vec<Client> = (0..20).map(|_| Client::send(node.address, raw)).collect();
--- a/crates/entry/tests/streams.rs
+++ b/crates/entry/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Streams over a real socket: promptness, hang-ups, reading on.
+//! Streams over a real socket: prompt delivery, hang-ups, and resuming.
 
 mod support;
 
@@ -10,7 +10,7 @@
 const STREAMED: &str = r#"{"model":"notice-7b","prompt":"a b c","class":"draft","stream":true}"#;
 const WHOLE: &str = r#"{"model":"notice-7b","prompt":"a b c","class":"draft"}"#;
 
-/// Pieces of 256 KiB, more together than the buffers of a connection take.
+/// The number of pieces of 256 KiB, whose total size exceeds the buffers of a connection.
 const PIECES: u64 = 64;
 
 fn sink_of(call: CallerCall) -> Box<dyn CallerSink> {
@@ -21,11 +21,11 @@
     }
 }
 
-/// A family reads the first words while the rest is still being written. Without a flush behind
-/// each event the library holds them all back, and the desk stays silent until the end.
+/// The caller reads the first words while the rest is still being written. Without a flush after
+/// each event the library buffers all of them, and the caller receives nothing until the end.
 #[test]
 fn the_first_event_arrives_before_the_second_is_produced() {
-    // No keep-alive comments: enough of them would push a held-back event out.
+    // No keep-alive comments, since enough of them would flush a buffered event.
     let node = Node::callers(|settings| settings.keep_alive_ms = SpanMs::from_secs(600));
     let raw = request("POST", "/v1/completions", "", STREAMED);
     let mut client = Client::send(node.address, &raw);
@@ -46,8 +46,8 @@
     assert!(rest.contains("data: [DONE]"), "{rest}");
 }
 
-/// A caller hangs up in the middle of an answer. The library tells nobody; without the comments
-/// written into the silence an engine would hold memory for an answer that nobody reads.
+/// A caller hangs up during an answer. The library doesn't report that. Without the comments that
+/// are written during silences, an engine would hold memory for an answer that nobody reads.
 #[test]
 fn a_hang_up_in_a_silent_stream_is_reported() {
     let node = Node::callers(|settings| settings.keep_alive_ms = SpanMs(50));
@@ -65,11 +65,11 @@
     assert_eq!(gone, caller);
     assert!(
         !token(&*sink, 0, "late"),
-        "the sink must say that nobody reads"
+        "the sink must report that the caller has disconnected"
     );
 }
 
-/// A caller that waits for a whole answer hangs up: the interim responses find it.
+/// A caller that waits for a whole answer hangs up. Writing the interim responses detects that.
 #[test]
 fn a_hang_up_before_a_whole_answer_is_reported() {
     let node = Node::callers(|settings| settings.interim_ms = Some(SpanMs(50)));
@@ -86,9 +86,9 @@
     assert_eq!(gone, caller);
 }
 
-/// A caller that stops reading would hold its thread and its part of the limits for good.
+/// A caller that stops reading would hold its thread and its part of the limits forever.
 #[test]
-fn a_caller_that_does_not_read_is_gone_after_the_write_timeout() {
+fn caller_that_does_not_read_is_disconnected_after_the_write_timeout() {
     let node = Node::callers(|settings| settings.write_timeout_ms = SpanMs(200));
     let raw = request("POST", "/v1/completions", "", STREAMED);
     let _client = Client::send(node.address, &raw);
@@ -104,7 +104,7 @@
     assert!(!token(&*sink, PIECES, "late"));
 }
 
-/// `ureq` and every other client of HTTP/1.1 reads interim responses over.
+/// `ureq`, like every other HTTP/1.1 client, skips interim responses.
 #[test]
 fn interim_responses_do_not_disturb_a_client() {
     let node = Node::callers(|settings| settings.interim_ms = Some(SpanMs(20)));
@@ -152,13 +152,13 @@
 }
 
 #[test]
-fn reading_on_hands_over_account_and_cursor() {
+fn resuming_passes_account_and_cursor() {
     let node = Node::callers(|_| ());
     let path = "/v1/requests/req-0000000000000abc-7/events";
     let raw = keyed_request(KEYS[1], "GET", path, "Last-Event-ID: c4\r\n", "");
     let client = Client::send(node.address, &raw);
     let CallerCall::ResumeAnswer { call, sink, .. } = node.next() else {
-        panic!("a call to read on was expected");
+        panic!("a call to resume an answer was expected");
     };
     let wanted = ResumeAnswer {
         account: AccountName::from("byrne"),
--- a/crates/entry/tests/support/mod.rs
+++ b/crates/entry/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A node whose actor thread hands every call to the test, and a client that speaks raw HTTP.
+//! A node whose actor thread passes every call to the test, and a client that speaks raw HTTP.
 
 #![allow(dead_code)]
 
@@ -14,16 +14,16 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Generous bound on any wait in these tests.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// The timeout of any wait in these tests.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The keys of the two accounts of [`config`].
+/// The keys of the two accounts in [`config`].
 pub const KEYS: [&str; 2] = ["murphy-key", "byrne-key"];
 
 /// The operators' credential.
 pub const CREDENTIAL: &str = "operator-secret";
 
-/// Two accounts, two classes, one model, one plain service.
+/// Returns a configuration with two accounts, two classes, one model and one plain service.
 pub fn config() -> FleetConfig {
     let text = r#"{
         "classes": [
@@ -49,7 +49,7 @@
     hash.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// A running interface with its actor thread; stopped on drop.
+/// A running interface with its actor thread. Both stop on drop.
 pub struct Node<C> {
     pub address: SocketAddr,
     pub calls: Receiver<C>,
@@ -60,7 +60,7 @@
 }
 
 impl Node<CallerCall> {
-    /// Opens a callers' interface with its settings changed by `tweak`.
+    /// Opens a callers' interface after `tweak` has changed its settings.
     pub fn callers(tweak: impl FnOnce(&mut CallersSettings)) -> Self {
         let mut settings = CallersSettings::at(Address::from("127.0.0.1:0"));
         settings.keep_alive_ms = SpanMs(200);
@@ -103,7 +103,9 @@
 impl<C> Node<C> {
     /// Waits for the next call.
     pub fn next(&self) -> C {
-        self.calls.recv_timeout(PATIENCE).expect("a call arrives")
+        self.calls
+            .recv_timeout(WAIT_TIMEOUT)
+            .expect("a call arrives")
     }
 }
 
@@ -134,17 +136,17 @@
         let inbox = Inbox::open();
         let mut stakker = Stakker::new(Instant::now());
         let bridge = Bridge::open(&inbox, 2);
-        let fwd = Fwd::new(move |call: C| hand_out(&calls_out, call));
+        let fwd = Fwd::new(move |call: C| forward_call(&calls_out, call));
         let interface = open(&bridge, fwd);
         out.send((inbox.link(), interface)).expect("the test waits");
         inbox.run(&mut stakker);
     });
-    let (link, interface) = opened.recv_timeout(PATIENCE).expect("it opens");
+    let (link, interface) = opened.recv_timeout(WAIT_TIMEOUT).expect("it opens");
     (link, thread, interface, calls)
 }
 
-fn hand_out<C>(out: &Sender<C>, call: C) {
-    // A test that has seen enough has dropped its receiver.
+fn forward_call<C>(out: &Sender<C>, call: C) {
+    // Fails if the test has dropped its receiver because it needs no more calls.
     let _ = out.send(call);
 }
 
@@ -158,14 +160,14 @@
     pub fn send(address: SocketAddr, raw: &[u8]) -> Self {
         let mut stream = TcpStream::connect(address).expect("the interface listens");
         stream
-            .set_read_timeout(Some(PATIENCE))
+            .set_read_timeout(Some(WAIT_TIMEOUT))
             .expect("it takes a timeout");
-        // A server that refuses early may close before all was sent.
+        // A server that refuses early may close the connection before all bytes were sent.
         let _ = stream.write_all(raw);
         Self { stream }
     }
 
-    /// Reads until `text` has been read; returns all read so far.
+    /// Reads until the received text ends with `text`, and returns all of it.
     pub fn read_until(&mut self, text: &str) -> String {
         let mut read = Vec::new();
         let mut byte = [0];
@@ -184,19 +186,20 @@
     /// Reads until the server closes the connection.
     pub fn read_all(mut self) -> String {
         let mut read = Vec::new();
-        // A reset after the answer ends it too.
+        // A reset after the answer also ends it.
         let _ = self.stream.read_to_end(&mut read);
         String::from_utf8_lossy(&read).into_owned()
     }
 }
 
-/// A request with the first account's key and a body of known length; closes afterwards.
+/// Returns a request with the first account's key and a body of known length. The connection closes
+/// after the answer.
 pub fn request(method: &str, path: &str, headers: &str, body: &str) -> Vec<u8> {
     let key = KEYS[0];
     keyed_request(key, method, path, headers, body)
 }
 
-/// A request with the given key.
+/// Returns a request with the given key.
 pub fn keyed_request(key: &str, method: &str, path: &str, headers: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     let mut text = format!("{method} {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n");
@@ -205,12 +208,12 @@
     text.into_bytes()
 }
 
-/// Sends a request and reads the whole answer.
+/// Sends a request and returns the whole answer.
 pub fn exchange(address: SocketAddr, raw: &[u8]) -> String {
     Client::send(address, raw).read_all()
 }
 
-/// The status code, the headers that this project sets, and the body.
+/// Returns the status code, the headers that this project sets, and the body.
 pub fn essence(answer: &str) -> String {
     let (head, body) = answer.split_once("\r\n\r\n").unwrap_or((answer, ""));
     let mut lines = head.lines();
@@ -232,7 +235,7 @@
     format!("{text} {}", body.trim_end())
 }
 
-/// Replaces the wall-clock second of an answer.
+/// Replaces each `created` time in an answer with 0.
 fn mask_created(body: &str) -> String {
     let Some((before, rest)) = body.split_once("\"created\":") else {
         return body.to_owned();
@@ -241,7 +244,7 @@
     format!("{before}\"created\":0{}", mask_created(rest))
 }
 
-/// The request id that these tests give.
+/// Returns the request id that these tests use.
 pub fn request_id() -> RequestId {
     RequestId {
         incarnation: Incarnation(0xabc),
@@ -249,13 +252,13 @@
     }
 }
 
-/// Sends the beginning of an answer.
+/// Sends the event that admits the request.
 pub fn admit(sink: &dyn CallerSink) -> bool {
     let request = request_id();
     sink.send(CallerEvent::Admitted { request })
 }
 
-/// Sends one piece of an answer.
+/// Sends one piece of the answer.
 pub fn token(sink: &dyn CallerSink, seq: u64, text: &str) -> bool {
     sink.send(CallerEvent::Token {
         seq: EventSeq(seq),
@@ -264,7 +267,7 @@
     })
 }
 
-/// Sends the end of an answer.
+/// Sends the end of the answer.
 pub fn finish(sink: &dyn CallerSink, answer_tokens: u64) -> bool {
     sink.send(CallerEvent::Finished {
         reason: "stop".into(),
