--- a/crates/upstreams/src/engine/mod.rs
+++ b/crates/upstreams/src/engine/mod.rs
@@ -1,81 +1,83 @@
 //! The engine port: streams, reservations, cache events, load and orders of one model engine.
 //!
-//! Terms: a *priority* orders waiting and running work on an engine, larger first; an *order*
-//! changes what an engine serves and carries a fencing number, which some engines check.
+//! Terms: a *priority* orders waiting and running work on an engine, and larger ones are served
+//! first; an *order* changes what an engine serves and carries a fencing number, which some engines
+//! check.
 
 use bluebell_base::prelude::*;
 use serde::{Deserialize, Serialize};
 use stakker::{Core, Fwd, Ret};
 
-/// An engine-side priority; larger is served first.
+/// A priority on an engine. Larger priorities are served first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Priority(pub i32);
 
-/// What an engine serves as.
+/// The role of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Prefill and decode.
+    /// Performs prefill and decode.
     #[default]
     Mixed,
-    /// Lends its memory to groups; takes no streams of its own.
+    /// Provides its memory to groups and accepts no streams of its own.
     Member,
 }
 
-/// A call to begin an answer.
+/// A call that begins an answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Generate {
     /// The request.
     pub request: RequestId,
-    /// Which attempt at it this is.
+    /// The number of this attempt at the request.
     pub attempt: AttemptNo,
-    /// Who owns the stream; only the owner's cancel is obeyed.
+    /// The owner of the stream. Only the owner can cancel it.
     pub owner: Incarnation,
     /// The model to run.
     pub model: ModelName,
     /// The whole prompt.
     pub prompt: Arc<str>,
-    /// The most tokens to generate.
+    /// The maximum number of tokens to generate.
     pub max_tokens: Tokens,
-    /// The order among the engine's work.
+    /// The priority among the engine's work.
     pub priority: Priority,
-    /// How long the engine keeps the stream with no reader before it frees the memory.
+    /// The time that the engine keeps the stream without a reader before it frees the memory.
     pub hold_ms: SpanMs,
-    /// When the engine gives up by itself, counted from the call.
+    /// The time after the call at which the engine aborts the work.
     pub deadline_ms: SpanMs,
-    /// Text already delivered by an earlier attempt; generation goes on behind it and events are
-    /// numbered from its count of events on.
+    /// The text events that an earlier attempt already delivered. Generation continues after them,
+    /// and the number of the next event is their count.
     #[serde(default)]
     pub continue_from: Vec<Arc<str>>,
-    /// The reservation under which the other engines of a group hold memory, if it is a group.
+    /// The reservation under which the other engines of a group hold memory. `None` if no group is
+    /// used.
     #[serde(default)]
     pub group: Option<ReservationId>,
-    /// How much the other engines of the group hold; this one holds the rest.
+    /// The memory that the other engines of the group hold, in tokens. This engine holds the rest.
     #[serde(default)]
     pub group_kv_tokens: Tokens,
 }
 
-/// A call to read a running or finished stream from an event on.
+/// A call that reads a running or finished stream from a given event on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resume {
     /// The request.
     pub request: RequestId,
     /// The attempt whose stream it is.
     pub attempt: AttemptNo,
-    /// Who owns the stream from now on.
+    /// The owner of the stream from now on.
     pub owner: Incarnation,
-    /// The first event wanted.
+    /// The first event to send.
     pub from: EventSeq,
 }
 
-/// Why an answer ended.
+/// The reason for the end of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FinishReason {
-    /// The model ended it.
+    /// The model ended the answer.
     Stop,
     /// The token limit was reached.
     Length,
@@ -88,93 +90,95 @@
     pub request: RequestId,
     /// The attempt it belongs to.
     pub attempt: AttemptNo,
-    /// What happened.
+    /// The content of the event.
     pub body: EventBody,
 }
 
-/// What an event says.
+/// The content of an event.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "snake_case")]
 pub enum EventBody {
-    /// The engine took the work; from here on it may have run.
+    /// The engine accepted the work. From here on it may have run.
     Accepted {
         /// The prompt's length by the engine's tokenizer.
         prompt_tokens: Tokens,
-        /// How many of them a cached prefix covers.
+        /// The number of these tokens that a cached prefix covers.
         cached_tokens: Tokens,
         /// The engine's load at that moment.
         load: LoadReport,
     },
-    /// One token (or piece) of the answer.
+    /// One token or other piece of the answer.
     Token {
-        /// Its position in the answer.
+        /// The position of the event in the answer.
         seq: EventSeq,
-        /// Its text.
+        /// The text of the token.
         text: Arc<str>,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     Finished {
         /// The number of token events of the answer.
         count: u64,
-        /// Why it ended.
+        /// The reason for the end.
         reason: FinishReason,
         /// The engine's load at that moment.
         load: LoadReport,
     },
-    /// The stream ended without an answer; also made by the client where the connection breaks.
+    /// The stream ended without a complete answer. The client also generates this event if the
+    /// connection breaks.
     Failed {
-        /// Why, with the verdict.
+        /// The error, with its verdict.
         error: Error,
     },
 }
 
-/// What an engine reports of its load; late.
+/// The load that an engine reports. The report lags behind the actual load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Prompt tokens admitted or waiting whose prefill is not done.
+    /// The number of admitted or waiting prompt tokens whose prefill is not done.
     pub prefill_backlog_tokens: Tokens,
-    /// Streams that are generating.
+    /// The number of streams that are generating.
     pub decoding: u32,
-    /// Requests waiting for memory or a slot.
+    /// The number of requests that wait for memory or a slot.
     pub waiting: u32,
-    /// KV memory in use, in tokens.
+    /// The KV memory in use, in tokens.
     pub kv_used_tokens: Tokens,
-    /// KV memory in all, in tokens.
+    /// The total KV memory, in tokens.
     pub kv_capacity_tokens: Tokens,
-    /// KV memory reserved for groups, in tokens; part of the used one.
+    /// The KV memory reserved for groups, in tokens. It is included in the memory in use.
     pub kv_reserved_tokens: Tokens,
-    /// The duration of the last step.
+    /// The duration of the last step, in milliseconds.
     pub step_ms: f64,
-    /// How old the report was when sent.
+    /// The age of the report when it was sent.
     pub age_ms: SpanMs,
-    /// Whether the engine is leaving and takes no new work.
+    /// True if the engine is about to be stopped and accepts no new work.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// What an engine knows of a stream.
+/// The state of a stream as an engine knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub enum StreamState {
-    /// It never saw the request, or has forgotten it; not a proof that it did not run.
+    /// The engine never received the request or has forgotten it. This doesn't prove that the
+    /// request did not run.
     Unknown,
-    /// It refused or dropped the request before any work.
+    /// The engine refused or dropped the request before any work on it.
     NotRun,
-    /// It is waiting or running.
+    /// The request is waiting or running.
     Running {
         /// The attempt in progress.
         attempt: AttemptNo,
-        /// Events produced so far.
+        /// The number of events produced so far.
         events: u64,
     },
-    /// It is whole and can still be read.
+    /// The answer is complete and can still be read.
     Finished {
         /// The attempt that finished.
         attempt: AttemptNo,
-        /// Events produced.
+        /// The number of events produced.
         events: u64,
     },
-    /// It was cancelled or expired.
+    /// The stream was cancelled or has expired.
     Ended,
 }
 
@@ -182,58 +186,59 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CancelAnswer {
-    /// It was cancelled before any work was done.
+    /// The attempt was cancelled before any work on it.
     NotRun,
-    /// It was cancelled while running, or had finished.
+    /// The attempt was cancelled while it was running, or it had already finished.
     Ran,
-    /// The caller does not own the stream; nothing was done.
+    /// The caller doesn't own the stream. Nothing was changed.
     NotOwner,
-    /// The engine does not know the stream; a later arrival of its call will be refused.
+    /// The engine doesn't know the stream. It will refuse the call that begins the stream if that
+    /// arrives later.
     Unknown,
 }
 
-/// What a hold is for.
+/// The purpose of a hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HoldKind {
-    /// A stream's KV.
+    /// The KV of a stream.
     Stream,
-    /// A member's part of a group.
+    /// The part of a group's memory that a member holds.
     Reservation,
-    /// Exported KV waiting to be imported.
+    /// Exported KV that waits to be imported.
     Export,
 }
 
 /// Engine memory kept for an owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hold {
-    /// What it is for.
+    /// The purpose of the hold.
     pub kind: HoldKind,
     /// The request it serves.
     pub request: RequestId,
-    /// The reservation, for `HoldKind::Reservation`.
+    /// The reservation, if the kind is [`HoldKind::Reservation`].
     #[serde(default)]
     pub reservation: Option<ReservationId>,
-    /// Who owns it.
+    /// The owner.
     pub owner: Incarnation,
-    /// Its size.
+    /// The size of the hold, in tokens.
     pub kv_tokens: Tokens,
-    /// When it expires unless renewed, counted from the answer.
+    /// The time from this answer until the hold expires unless it is renewed.
     pub expires_ms: SpanMs,
 }
 
-/// A call to reserve (or renew) memory for a group; all or nothing on this engine.
+/// A call that reserves or renews memory for a group. The engine reserves all of it or nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reserve {
     /// The reservation, the same on every engine of the group.
     pub reservation: ReservationId,
     /// The request it serves.
     pub request: RequestId,
-    /// Who owns it.
+    /// The owner.
     pub owner: Incarnation,
-    /// How much is wanted here.
+    /// The memory to reserve on this engine, in tokens.
     pub kv_tokens: Tokens,
-    /// How long it is kept unless renewed.
+    /// The time that the reservation is kept unless it is renewed.
     pub hold_ms: SpanMs,
 }
 
@@ -241,33 +246,34 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "order", rename_all = "snake_case")]
 pub enum EngineOrder {
-    /// Load this version of the model (or adapter) and serve it.
+    /// Loads a version of a model or adapter and serves it.
     LoadModel {
         /// The model.
         model: ModelName,
         /// The version.
         version: u64,
     },
-    /// Change role.
+    /// Changes the role.
     SetRole {
         /// The new role.
         role: Role,
     },
-    /// Free a hold of a dead owner.
+    /// Frees a hold whose owner has ended.
     Reclaim {
-        /// The owner it must still have.
+        /// The owner. The hold is kept if it has another one by now.
         owner: Incarnation,
         /// The request it serves.
         request: RequestId,
     },
 }
 
-/// The answer to an order, and the state read back.
+/// The answer to an order, with the state after it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderAnswer {
-    /// Whether it was carried out; `false` where a newer fencing number was seen.
+    /// True if the order was carried out. `false` if the engine has already received a larger
+    /// fencing number.
     pub accepted: bool,
-    /// The newest fencing number seen, by engines that check.
+    /// The largest fencing number received, reported by engines that check it.
     pub fencing: Fencing,
     /// The role after the order.
     pub role: Role,
@@ -275,7 +281,7 @@
     pub models: Vec<LoadedModel>,
 }
 
-/// A model version that an engine serves.
+/// A model with the version that an engine serves.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadedModel {
     /// The model.
@@ -284,12 +290,12 @@
     pub version: u64,
 }
 
-/// Cache events from a position on; late, with gaps.
+/// The cache events from a position on. They arrive late and may have gaps.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
-    /// The position to ask from next.
+    /// The position to request next.
     pub next: u64,
-    /// Whether events before the first one given were lost.
+    /// True if events before the first one in `events` were lost.
     pub gap: bool,
     /// The events.
     pub events: Vec<CacheEvent>,
@@ -298,23 +304,23 @@
 /// One change of an engine's prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Hash of the prompt up to the end of the block.
+    /// The hash of the prompt up to the end of the block.
     pub prefix_hash: u64,
-    /// The prefix's length.
+    /// The length of the prefix.
     pub tokens: Tokens,
-    /// Whether it was stored (or evicted).
+    /// True if the prefix was stored, `false` if it was evicted.
     pub stored: bool,
 }
 
-/// One model engine.
+/// The port to one model engine.
 pub trait EnginePort {
-    /// Begins an answer; its events go to `events`, the last one `Finished` or `Failed`.
+    /// Begins an answer and sends its events to `events`. The last one is `Finished` or `Failed`.
     fn generate(&self, core: &mut Core, call: Generate, events: Fwd<Event>);
 
-    /// Reads a stream from an event on; its events go to `events`, as for `generate`.
+    /// Reads a stream from an event on and sends its events to `events`, as for `generate`.
     fn resume(&self, core: &mut Core, call: Resume, events: Fwd<Event>);
 
-    /// Cancels an attempt, where `owner` still owns it.
+    /// Cancels an attempt if `owner` still owns it.
     fn cancel(
         &self,
         core: &mut Core,
@@ -324,19 +330,19 @@
         ret: Ret<Result<CancelAnswer, Error>>,
     );
 
-    /// Looks a request up.
+    /// Returns the state of a request's stream.
     fn lookup(&self, core: &mut Core, request: RequestId, ret: Ret<Result<StreamState, Error>>);
 
-    /// Asks for the load report.
+    /// Requests the load report.
     fn load(&self, core: &mut Core, ret: Ret<Result<LoadReport, Error>>);
 
-    /// Asks for the cache events from a position on.
+    /// Requests the cache events from a position on.
     fn cache_events(&self, core: &mut Core, from: u64, ret: Ret<Result<CacheEvents, Error>>);
 
     /// Reserves or renews memory for a group.
     fn reserve(&self, core: &mut Core, call: Reserve, ret: Ret<Result<(), Error>>);
 
-    /// Releases a reservation; releasing an unknown one succeeds.
+    /// Releases a reservation. Releasing an unknown one succeeds.
     fn release(
         &self,
         core: &mut Core,
@@ -345,7 +351,7 @@
         ret: Ret<Result<(), Error>>,
     );
 
-    /// Lists the memory held, with owners.
+    /// Lists the holds with their owners.
     fn holds(&self, core: &mut Core, ret: Ret<Result<Vec<Hold>, Error>>);
 
     /// Carries out an order under a fencing number.
@@ -357,10 +363,11 @@
         ret: Ret<Result<OrderAnswer, Error>>,
     );
 
-    /// Reads the role and models back without changing them.
+    /// Returns the role and the models without changing them.
     fn state(&self, core: &mut Core, ret: Ret<Result<OrderAnswer, Error>>);
 
-    /// Exports a finished or running stream's KV to another engine, which imports it.
+    /// Exports the KV of a finished or running stream to another engine, which imports it. Returns
+    /// the number of tokens transferred.
     fn transfer(
         &self,
         core: &mut Core,
--- a/crates/upstreams/src/http/engine/mod.rs
+++ b/crates/upstreams/src/http/engine/mod.rs
@@ -1,7 +1,7 @@
-//! The engine port over HTTP.
+//! Implements the engine port over HTTP.
 
-use super::exchange::{CALL_TIMEOUT, Exchange, JSON, Outgoing};
-use super::stream::{self, Prepared, Subject};
+use super::exchange::{CALL_TIMEOUT, Exchange, JSON, OutgoingCall};
+use super::stream::{self, StreamCall, Subject};
 use super::wire::{CancelCall, OrderCall, TransferCall};
 use crate::engine::{
     CacheEvents, CancelAnswer, EngineOrder, EnginePort, Event, Generate, Hold, LoadReport,
@@ -16,16 +16,18 @@
 use std::time::{Duration, Instant};
 use ureq::http::Method;
 
-/// How much longer than its deadline a stream is read, for the engine's own last word.
+/// The time that a stream is read beyond its deadline, so that the engine's own last event is
+/// received.
 const DEADLINE_MARGIN: Duration = Duration::from_secs(2);
 
-/// How long a resumed stream is read at most; its deadline is known to the engine only.
+/// The maximum time that a resumed stream is read. Only the engine knows the deadline of such a
+/// stream.
 const RESUME_TIMEOUT: Duration = Duration::from_secs(3600);
 
-/// How long a transfer between two engines may take.
+/// The timeout of a transfer between two engines.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// One model engine reached over HTTP.
+/// The port to one model engine over HTTP.
 #[derive(Debug)]
 pub struct HttpEngine {
     streams: Bridge,
@@ -36,8 +38,8 @@
 impl HttpEngine {
     /// Opens the port to the engine at `address`.
     ///
-    /// `streams` needs a thread for each stream that shall run at once, over all engines that
-    /// share it; `calls` carries the short calls, which never wait behind streams.
+    /// `streams` needs one thread for each simultaneous stream, over all engines that share it.
+    /// `calls` carries the short calls, which never wait behind streams.
     pub fn open(
         streams: Bridge,
         calls: Bridge,
@@ -51,12 +53,12 @@
         })
     }
 
-    /// Runs one stream on an I/O thread; `prepare` makes its path, body and time limit there.
+    /// Runs one stream on an I/O thread, where `prepare` builds its path, body and time limit.
     fn stream(
         &self,
         subject: Subject,
         events: Fwd<Event>,
-        prepare: impl FnOnce() -> Result<Prepared, Error> + Send + 'static,
+        prepare: impl FnOnce() -> Result<StreamCall, Error> + Send + 'static,
     ) {
         let exchange = self.exchange.clone();
         let job = move |sender: bluebell_bridge::EventSender<Event>| {
@@ -69,7 +71,7 @@
     }
 
     fn get<T: DeserializeOwned + Send + 'static>(&self, path: String, ret: Ret<Result<T, Error>>) {
-        self.short(Method::GET, path, None::<()>, ret);
+        self.short_call(Method::GET, path, None::<()>, ret);
     }
 
     fn post<T: DeserializeOwned + Send + 'static>(
@@ -78,10 +80,10 @@
         body: impl Serialize + Send + 'static,
         ret: Ret<Result<T, Error>>,
     ) {
-        self.short(Method::POST, path, Some(body), ret);
+        self.short_call(Method::POST, path, Some(body), ret);
     }
 
-    fn short<T: DeserializeOwned + Send + 'static>(
+    fn short_call<T: DeserializeOwned + Send + 'static>(
         &self,
         method: Method,
         path: String,
@@ -100,8 +102,8 @@
             request: call.request,
             attempt: call.attempt,
         };
-        let called = Instant::now();
-        self.stream(subject, events, move || prepare_generate(call, called));
+        let called_at = Instant::now();
+        self.stream(subject, events, move || prepare_generate(call, called_at));
     }
 
     fn resume(&self, _core: &mut Core, call: Resume, events: Fwd<Event>) {
@@ -110,7 +112,7 @@
             attempt: call.attempt,
         };
         self.stream(subject, events, move || {
-            Ok(Prepared {
+            Ok(StreamCall {
                 path: format!("/v1/streams/{}/resume", call.request),
                 body: encode(&call)?,
                 timeout: RESUME_TIMEOUT,
@@ -154,7 +156,7 @@
         ret: Ret<Result<(), Error>>,
     ) {
         let path = format!("/v1/reservations/{reservation}?owner={owner}");
-        self.short(Method::DELETE, path, None::<()>, ret);
+        self.short_call(Method::DELETE, path, None::<()>, ret);
     }
 
     fn holds(&self, _core: &mut Core, ret: Ret<Result<Vec<Hold>, Error>>) {
@@ -189,20 +191,20 @@
             let body = Some(body);
             exchange_json(&exchange, Method::POST, &path, body, TRANSFER_TIMEOUT)
         };
-        // A transfer takes as long as a stream may, so that it runs among them.
+        // A transfer can take as long as a stream, so it uses the threads for streams.
         self.streams.call(job, too_many_calls, ret);
     }
 }
 
-fn prepare_generate(mut call: Generate, called: Instant) -> Result<Prepared, Error> {
-    // The deadline counts from the call; the time spent waiting for an I/O thread is gone.
-    let waited_ms = SpanMs(called.elapsed().as_millis() as u64);
+fn prepare_generate(mut call: Generate, called_at: Instant) -> Result<StreamCall, Error> {
+    // The deadline counts from the call, so the time spent waiting for an I/O thread is subtracted.
+    let waited_ms = SpanMs(called_at.elapsed().as_millis() as u64);
     call.deadline_ms = call.deadline_ms.saturating_sub(waited_ms);
     if call.deadline_ms == SpanMs::ZERO {
         let text = "the deadline passed before the call was sent";
         return Err(Error::not_run(ErrorKind::DeadlineExceeded, text));
     }
-    Ok(Prepared {
+    Ok(StreamCall {
         path: "/v1/generate".into(),
         body: encode(&call)?,
         timeout: Duration::from(call.deadline_ms) + DEADLINE_MARGIN,
@@ -220,14 +222,14 @@
         Some(body) => encode(body)?,
         None => Vec::new(),
     };
-    exchange.json(&Outgoing {
+    exchange.json(&OutgoingCall {
         method,
         path,
         content_type: body.is_some().then_some(JSON),
         headers: &[],
         body: &encoded,
         timeout,
-        fresh: false,
+        new_connection: false,
     })
 }
 
--- a/crates/upstreams/src/http/exchange/mod.rs
+++ b/crates/upstreams/src/http/exchange/mod.rs
@@ -1,4 +1,4 @@
-//! One HTTP exchange, with its time limits and the verdict of each way it can fail.
+//! Performs HTTP exchanges with upstreams: time limits, and the verdict for each kind of failure.
 
 #[cfg(test)]
 mod tests;
@@ -11,34 +11,36 @@
 use ureq::http::{Method, Request, Response};
 use ureq::{Agent, Body};
 
-/// The time that making a connection may take.
+/// The timeout for opening a connection.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The time that a short call may take in all.
+/// The timeout of a short call, from its start to the end of its answer.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The longest silence of an upstream that owes an answer; engines send comments meanwhile.
+/// The longest silence of an upstream during an exchange. Engines send comments when they have no
+/// event to send.
 pub const SILENCE: Duration = Duration::from_secs(10);
 
-/// The largest answer to a short call that is read.
+/// The maximum size of an answer to a short call, in bytes.
 const ANSWER_LIMIT_BYTES: u64 = 16 << 20;
 
-/// Idle connections kept for short calls to one upstream.
-const IDLE_CONNECTIONS: usize = 2;
+/// The maximum number of idle connections to one upstream, kept for short calls.
+const MAX_IDLE_CONNECTIONS_PER_UPSTREAM: usize = 2;
 
-/// Idle connections kept to all upstreams together.
+/// The maximum number of idle connections to all upstreams together.
 ///
-/// Each keeps its buffers. With a pool for each upstream, what a node holds in memory grew by two
-/// connections for each upstream that it ever asked.
-const IDLE_CONNECTIONS_IN_ALL: usize = 128;
+/// Each connection keeps its buffers. With a pool per upstream, a node's memory would grow by two
+/// connections for each upstream that it ever called.
+const MAX_IDLE_CONNECTIONS: usize = 128;
 
-/// The buffer of a connection for each way; the head of an answer has to fit.
+/// The size of a connection's buffer in each direction, in bytes. The head of an answer must fit
+/// into it.
 const BUFFER_BYTES: usize = 16 << 10;
 
 /// The media type of JSON.
 pub(super) const JSON: &str = "application/json";
 
-/// One upstream's address and how it is reached; cheap to clone.
+/// A client for exchanges with one upstream. It is cheap to clone.
 #[derive(Clone)]
 pub(super) struct Exchange {
     agent: Agent,
@@ -47,7 +49,7 @@
 }
 
 impl fmt::Debug for Exchange {
-    /// Leaves the credential out, so that no log or state dump shows it.
+    /// Omits the credential, so that it isn't printed in logs and state dumps.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Exchange")
             .field("address", &self.address)
@@ -55,25 +57,25 @@
     }
 }
 
-/// What shall be sent.
+/// A call to send.
 #[derive(Debug)]
-pub(super) struct Outgoing<'a> {
+pub(super) struct OutgoingCall<'a> {
     pub method: Method,
     pub path: &'a str,
     pub content_type: Option<&'a str>,
     pub headers: &'a [(&'static str, &'a str)],
     pub body: &'a [u8],
-    /// How long the exchange may take in all, its body included.
+    /// The timeout of the whole exchange, including the body of the answer.
     pub timeout: Duration,
-    /// Whether the connection is made anew and closed behind the exchange.
+    /// True if a new connection is opened for the exchange and closed after it.
     ///
-    /// A kept connection may have been closed by the upstream meanwhile; the call then fails with
-    /// `MayHaveRun` although nothing ran. Calls with effects that can't be repeated take a fresh
-    /// one, where a refused connection is a certain `NotRun`.
-    pub fresh: bool,
+    /// The upstream may have closed a pooled connection in the meantime. The call then fails with
+    /// `MayHaveRun` although nothing ran. Calls whose effects can't be repeated use a new
+    /// connection, where a refused connection is certainly `NotRun`.
+    pub new_connection: bool,
 }
 
-/// The agent of all exchanges of this process, which share its pool of connections.
+/// Returns the agent that all exchanges of this process share, with its pool of connections.
 fn agent() -> Agent {
     static AGENT: OnceLock<Agent> = OnceLock::new();
     AGENT.get_or_init(open_agent).clone()
@@ -87,8 +89,8 @@
         .timeout_connect(Some(CONNECT_TIMEOUT))
         .timeout_per_read(Some(SILENCE))
         .timeout_per_write(Some(SILENCE))
-        .max_idle_connections(IDLE_CONNECTIONS_IN_ALL)
-        .max_idle_connections_per_host(IDLE_CONNECTIONS)
+        .max_idle_connections(MAX_IDLE_CONNECTIONS)
+        .max_idle_connections_per_host(MAX_IDLE_CONNECTIONS_PER_UPSTREAM)
         .input_buffer_size(BUFFER_BYTES)
         .output_buffer_size(BUFFER_BYTES)
         .build()
@@ -96,7 +98,7 @@
 }
 
 impl Exchange {
-    /// Prepares exchanges with one upstream.
+    /// Returns a client for exchanges with one upstream.
     pub fn open(address: Address, credential: Option<Arc<str>>) -> Self {
         Self {
             agent: agent(),
@@ -105,32 +107,33 @@
         }
     }
 
-    /// Sends a call and waits for the head of its answer, of whatever status.
-    pub fn send(&self, call: &Outgoing<'_>) -> Result<Response<Body>, Error> {
+    /// Sends a call and waits for the head of its answer, whatever its status.
+    pub fn send(&self, call: &OutgoingCall<'_>) -> Result<Response<Body>, Error> {
         let request = self.request(call)?;
         let mut configured = self
             .agent
             .configure_request(request)
             .allow_non_standard_methods(true)
             .timeout_global(Some(call.timeout));
-        if call.fresh {
+        if call.new_connection {
             configured = configured.max_idle_connections(0);
         }
         let answer = self.agent.run(configured.build());
-        answer.map_err(|error| verdict_of(&error))
+        answer.map_err(|error| exchange_error(&error))
     }
 
-    /// Makes a short call whose answer is JSON.
-    pub fn json<T: DeserializeOwned>(&self, call: &Outgoing<'_>) -> Result<T, Error> {
+    /// Sends a short call and decodes its JSON answer.
+    pub fn json<T: DeserializeOwned>(&self, call: &OutgoingCall<'_>) -> Result<T, Error> {
         let mut answer = self.send(call)?;
         let body = read_body(&mut answer)?;
         if !answer.status().is_success() {
             return Err(refusal(answer.status().as_u16(), &body));
         }
-        serde_json::from_slice(&body).map_err(|error| broken(format!("bad answer: {error}")))
+        serde_json::from_slice(&body)
+            .map_err(|error| upstream_error(format!("bad answer: {error}")))
     }
 
-    fn request<'a>(&self, call: &Outgoing<'a>) -> Result<Request<&'a [u8]>, Error> {
+    fn request<'a>(&self, call: &OutgoingCall<'a>) -> Result<Request<&'a [u8]>, Error> {
         let uri = format!("http://{}{}", self.address, call.path);
         let mut request = Request::builder().method(call.method.clone()).uri(uri);
         if let Some(credential) = &self.credential {
@@ -139,7 +142,7 @@
         if let Some(content_type) = call.content_type {
             request = request.header("Content-Type", content_type);
         }
-        if call.fresh {
+        if call.new_connection {
             request = request.header("Connection", "close");
         }
         for (name, value) in call.headers {
@@ -154,36 +157,37 @@
 pub(super) fn read_body(answer: &mut Response<Body>) -> Result<Vec<u8>, Error> {
     let body = answer.body_mut().with_config().limit(ANSWER_LIMIT_BYTES);
     let bytes = body.read_to_vec();
-    bytes.map_err(|error| broken(format!("the answer broke off: {error}")))
+    bytes.map_err(|error| upstream_error(format!("the answer broke off: {error}")))
 }
 
-/// The error of an answer that is no success: the upstream's own, where it gives one.
+/// Returns the error for an answer without a success status. It is the upstream's own error if the
+/// body contains one.
 pub(super) fn refusal(status: u16, body: &[u8]) -> Error {
     match serde_json::from_slice::<Error>(body) {
         Ok(error) => error,
-        // Whoever answered did not say that nothing ran, so that it may have.
-        Err(_) => broken(format!("the upstream answered with status {status}")),
+        // The answer doesn't state that nothing ran, so it may have run.
+        Err(_) => upstream_error(format!("the upstream answered with status {status}")),
     }
 }
 
-/// An error of an upstream that was reached.
-pub(super) fn broken(message: String) -> Error {
+/// Returns the error for an upstream that was reached but failed.
+pub(super) fn upstream_error(message: String) -> Error {
     Error::may_have_run(ErrorKind::Upstream, message)
 }
 
-/// The verdict of an exchange that failed.
+/// Returns the error, with its verdict, for an exchange that failed.
 ///
-/// A connection that was refused, or not made in time, has carried no byte of the call: nothing
-/// can have run. Every other failure can have come after the upstream read the call.
-fn verdict_of(error: &ureq::Error) -> Error {
+/// A connection that was refused, or not opened in time, has carried no byte of the call, so
+/// nothing can have run. Every other failure may have occurred after the upstream read the call.
+fn exchange_error(error: &ureq::Error) -> Error {
     let message = format!("no answer from the upstream: {error}");
-    let unconnected = match error {
+    let not_connected = match error {
         ureq::Error::Timeout(ureq::Timeout::Connect | ureq::Timeout::Resolve) => true,
         ureq::Error::Io(error) => error.kind() == std::io::ErrorKind::ConnectionRefused,
         ureq::Error::BadUri(_) | ureq::Error::HostNotFound => true,
         _ => false,
     };
-    if unconnected {
+    if not_connected {
         return Error::not_run(ErrorKind::Unavailable, message);
     }
     let kind = match error {
--- a/crates/upstreams/src/http/service/mod.rs
+++ b/crates/upstreams/src/http/service/mod.rs
@@ -1,6 +1,6 @@
-//! The plain service port over HTTP.
+//! Implements the plain service port over HTTP.
 
-use super::exchange::{CALL_TIMEOUT, Exchange, Outgoing, read_body, refusal};
+use super::exchange::{CALL_TIMEOUT, Exchange, OutgoingCall, read_body, refusal};
 use crate::service::{ServiceAnswer, ServiceCall, ServicePort};
 use bluebell_base::prelude::*;
 use bluebell_bridge::Bridge;
@@ -9,20 +9,20 @@
 use std::time::{Duration, Instant};
 use ureq::http::Method;
 
-/// The header with the request's identity.
+/// The header with the request's id.
 pub const REQUEST_ID_HEADER: &str = "X-Request-Id";
 
 /// The header with the caller's idempotency key.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "Idempotency-Key";
 
-/// The header by which a service says, with `not_run`, that it refused a call without effect; with
-/// anything else the answer is handed on like one without it.
+/// The header with which a service reports, by the value `not_run`, that it refused a call without
+/// effect. With any other value the answer is passed on as if the header were absent.
 pub const VERDICT_HEADER: &str = "X-Verdict";
 
-/// Where a service tells whether it takes work.
+/// The path at which a service reports whether it accepts work.
 const HEALTH_PATH: &str = "/healthz";
 
-/// One replica of a plain service reached over HTTP.
+/// The port to one replica of a plain service over HTTP.
 #[derive(Debug)]
 pub struct HttpService {
     bridge: Bridge,
@@ -30,8 +30,8 @@
 }
 
 impl HttpService {
-    /// Opens the port to the replica at `address`; `bridge` needs a thread for each call that
-    /// shall run at once.
+    /// Opens the port to the replica at `address`. `bridge` needs one thread for each simultaneous
+    /// call.
     pub fn open(bridge: Bridge, address: Address) -> Rc<dyn ServicePort> {
         Rc::new(Self {
             bridge,
@@ -43,8 +43,8 @@
 impl ServicePort for HttpService {
     fn call(&self, _core: &mut Core, call: ServiceCall, ret: Ret<Result<ServiceAnswer, Error>>) {
         let exchange = self.exchange.clone();
-        let called = Instant::now();
-        let job = move || run_call(&exchange, &call, called);
+        let called_at = Instant::now();
+        let job = move || run_call(&exchange, &call, called_at);
         self.bridge.call(job, too_many_calls, ret);
     }
 
@@ -58,9 +58,9 @@
 fn run_call(
     exchange: &Exchange,
     call: &ServiceCall,
-    called: Instant,
+    called_at: Instant,
 ) -> Result<ServiceAnswer, Error> {
-    let timeout = Duration::from(call.timeout_ms).saturating_sub(called.elapsed());
+    let timeout = Duration::from(call.timeout_ms).saturating_sub(called_at.elapsed());
     if timeout.is_zero() {
         let text = "the time for the call passed before it was sent";
         return Err(Error::not_run(ErrorKind::DeadlineExceeded, text));
@@ -70,14 +70,14 @@
     if let Some(key) = &call.idempotency_key {
         headers.push((IDEMPOTENCY_KEY_HEADER, key.as_str()));
     }
-    let mut answer = exchange.send(&Outgoing {
+    let mut answer = exchange.send(&OutgoingCall {
         method: method_of(call)?,
         path: &call.path,
         content_type: call.content_type.as_deref(),
         headers: &headers,
         body: &call.body,
         timeout,
-        fresh: true,
+        new_connection: true,
     })?;
     let header = answer.headers().get("Content-Type");
     let content_type = header.and_then(|value| value.to_str().ok()).map(Arc::from);
@@ -96,14 +96,14 @@
 }
 
 fn probe(exchange: &Exchange) -> Result<(), Error> {
-    let mut answer = exchange.send(&Outgoing {
+    let mut answer = exchange.send(&OutgoingCall {
         method: Method::GET,
         path: HEALTH_PATH,
         content_type: None,
         headers: &[],
         body: &[],
         timeout: CALL_TIMEOUT,
-        fresh: false,
+        new_connection: false,
     })?;
     let body = read_body(&mut answer)?;
     match answer.status().is_success() {
--- a/crates/upstreams/src/http/stream/mod.rs
+++ b/crates/upstreams/src/http/stream/mod.rs
@@ -1,12 +1,12 @@
-//! Reading a stream of events off a connection, one by one as their lines come.
+//! Reads a stream of events from a connection, each event as soon as its line arrives.
 //!
-//! Invariants: each stream gives exactly one last event of its own request and attempt; nothing
-//! follows it.
+//! Invariants: each stream produces exactly one last event of its own request and attempt, and no
+//! event after it.
 
 #[cfg(test)]
 mod tests;
 
-use super::exchange::{Exchange, JSON, Outgoing, broken, read_body, refusal};
+use super::exchange::{Exchange, JSON, OutgoingCall, read_body, refusal, upstream_error};
 use super::wire::DATA_PREFIX;
 use crate::engine::{Event, EventBody};
 use bluebell_base::prelude::*;
@@ -15,12 +15,12 @@
 use ureq::Body;
 use ureq::http::{Method, Response};
 
-/// The longest line of a stream.
+/// The maximum length of a line in a stream, in bytes.
 const LINE_LIMIT_BYTES: u64 = 1 << 20;
 
-/// What a stream's call sends.
+/// The path, body and timeout of the call that opens a stream.
 #[derive(Debug)]
-pub(super) struct Prepared {
+pub(super) struct StreamCall {
     pub path: String,
     pub body: Vec<u8>,
     pub timeout: Duration,
@@ -34,7 +34,7 @@
 }
 
 impl Subject {
-    /// The event that ends the stream where the engine itself did not.
+    /// Returns the event that ends the stream if the engine itself sent none.
     pub fn failed(self, error: Error) -> Event {
         Event {
             request: self.request,
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Whether an event ends this stream; one that was crossed from another stream does not.
+    /// Returns true if an event ends this stream. The last event of another stream, received by
+    /// mistake, does not.
     fn is_ended_by(self, event: &Event) -> bool {
         let own = event.request == self.request && event.attempt == self.attempt;
         let last = matches!(
@@ -54,30 +55,31 @@
     }
 }
 
-/// Makes the call and hands on its events until the last; `emit` returns whether to go on.
+/// Sends the call and passes its events to `emit` until the last one. `emit` returns whether to
+/// continue.
 pub(super) fn run(
     exchange: &Exchange,
-    prepared: Result<Prepared, Error>,
+    stream_call: Result<StreamCall, Error>,
     subject: Subject,
     mut emit: impl FnMut(Event) -> bool,
 ) {
-    let answer = prepared.and_then(|prepared| send(exchange, prepared));
+    let answer = stream_call.and_then(|stream_call| send(exchange, stream_call));
     let ended = answer.and_then(|answer| read_events(answer, subject, &mut emit));
     if let Err(error) = ended {
         emit(subject.failed(error));
     }
 }
 
-/// Sends the call; its body, which can be megabytes, is free again before the events are read.
-fn send(exchange: &Exchange, prepared: Prepared) -> Result<Response<Body>, Error> {
-    exchange.send(&Outgoing {
+/// Sends the call. Its body, which can be megabytes, is freed before the events are read.
+fn send(exchange: &Exchange, stream_call: StreamCall) -> Result<Response<Body>, Error> {
+    exchange.send(&OutgoingCall {
         method: Method::POST,
-        path: &prepared.path,
+        path: &stream_call.path,
         content_type: Some(JSON),
         headers: &[],
-        body: &prepared.body,
-        timeout: prepared.timeout,
-        fresh: true,
+        body: &stream_call.body,
+        timeout: stream_call.timeout,
+        new_connection: true,
     })
 }
 
@@ -94,7 +96,7 @@
     forward(&mut lines, subject, emit)
 }
 
-/// Hands on the events of a stream until its last, or until nobody wants them.
+/// Passes on the events of a stream until the last one, or until `emit` returns `false`.
 fn forward(
     lines: &mut impl BufRead,
     subject: Subject,
@@ -107,28 +109,34 @@
             return Ok(());
         }
     }
-    Err(broken("the stream ended before its last event".into()))
+    Err(upstream_error(
+        "the stream ended before its last event".into(),
+    ))
 }
 
-/// Reads on to the next event; none at the end of the stream.
+/// Reads up to the next event. Returns `None` at the end of the stream.
 fn next_event(lines: &mut impl BufRead, line: &mut Vec<u8>) -> Result<Option<Event>, Error> {
     loop {
         line.clear();
         let mut limited = lines.by_ref().take(LINE_LIMIT_BYTES);
         let read = limited.read_until(b'\n', line);
-        let count = read.map_err(|error| broken(format!("the stream broke off: {error}")))?;
+        let count =
+            read.map_err(|error| upstream_error(format!("the stream broke off: {error}")))?;
         if count == 0 {
             return Ok(None);
         }
         if line.last() != Some(&b'\n') {
-            return Err(broken("a line of the stream is cut off or too long".into()));
+            return Err(upstream_error(
+                "a line of the stream is cut off or too long".into(),
+            ));
         }
-        // Lines without data are comments, which show that the engine is there, and separators.
+        // Lines without the data prefix are separators, or comments that show that the engine is
+        // alive.
         if let Some(data) = line.strip_prefix(DATA_PREFIX.as_bytes()) {
             let event = serde_json::from_slice(data);
             return event
                 .map(Some)
-                .map_err(|error| broken(format!("bad event: {error}")));
+                .map_err(|error| upstream_error(format!("bad event: {error}")));
         }
     }
 }
--- a/crates/upstreams/src/http/stream/tests.rs
+++ b/crates/upstreams/src/http/stream/tests.rs
@@ -1,4 +1,4 @@
-//! The stream decoder before whatever bytes an upstream may send.
+//! Tests the stream decoder with arbitrary bytes from an upstream.
 
 use super::{Subject, forward};
 use crate::engine::{Event, EventBody, FinishReason, LoadReport};
@@ -38,7 +38,8 @@
     }
 }
 
-/// Pieces of streams: whole events, own and foreign, comments, and anything at all.
+/// Generates pieces of streams: whole events of this and other attempts, comments, and arbitrary
+/// bytes.
 fn piece() -> impl Strategy<Value = Vec<u8>> {
     prop_oneof![
         Just(line(1, token())),
@@ -53,8 +54,8 @@
 }
 
 proptest! {
-    /// A stream either ends with its own last event, with nothing behind it, or with an error
-    /// that leaves open whether it ran; it never panics.
+    /// A stream either ends with its own last event and nothing after it, or with an error that
+    /// states that it may have run. The decoder never panics.
     #[test]
     fn a_stream_ends_by_its_own_last_event_or_by_an_error(
         pieces in prop::collection::vec(piece(), 0..12),
@@ -79,10 +80,13 @@
     }
 }
 
-/// An upstream that never ends a line must not fill the node's memory.
+/// A line that never ends must not fill the node's memory.
 #[test]
-fn an_endless_line_is_cut_off() {
+fn endless_line_is_an_error() {
     let endless = vec![b'x'; 3 << 20];
     let ended = forward(&mut endless.as_slice(), SUBJECT, &mut |_| true);
-    assert_eq!(ended.expect_err("too long").kind, ErrorKind::Upstream);
+    assert_eq!(
+        ended.expect_err("the line is over the limit").kind,
+        ErrorKind::Upstream
+    );
 }
--- a/crates/upstreams/src/http/wire/mod.rs
+++ b/crates/upstreams/src/http/wire/mod.rs
@@ -1,4 +1,4 @@
-//! The bodies of calls to an engine that have no type of their own in the port.
+//! Defines the bodies of calls to an engine that the port has no types for.
 
 use crate::engine::EngineOrder;
 use bluebell_base::prelude::*;
@@ -7,7 +7,7 @@
 /// The media type of a stream of events.
 pub const EVENT_STREAM: &str = "text/event-stream";
 
-/// What begins the line of one event.
+/// The prefix of a line that contains an event.
 pub const DATA_PREFIX: &str = "data:";
 
 /// The body of `POST /v1/streams/{request}/cancel`.
@@ -15,7 +15,7 @@
 pub struct CancelCall {
     /// The attempt to cancel.
     pub attempt: AttemptNo,
-    /// Who must own it.
+    /// The owner that the attempt must have.
     pub owner: Incarnation,
 }
 
@@ -24,13 +24,13 @@
 pub struct OrderCall {
     /// The order.
     pub order: EngineOrder,
-    /// The fencing number it is given under.
+    /// The fencing number of the order.
     pub fencing: Fencing,
 }
 
 /// The body of `POST /v1/streams/{request}/transfer`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransferCall {
-    /// The engine that shall import the KV.
+    /// The address of the engine that imports the KV.
     pub to: Address,
 }
--- a/crates/upstreams/src/lib.rs
+++ b/crates/upstreams/src/lib.rs
@@ -1,12 +1,12 @@
-//! What the upstreams offer, as trait objects: model engines and plain services, with their HTTP
+//! The ports to the upstreams (model engines and plain services) as trait objects, with their HTTP
 //! clients.
 //!
-//! Terms: an *attempt* is one try to run a request on one engine; a *hold* is engine memory kept
-//! for an owner (a stream, a reservation, an export) until it is released or expires; a *group*
-//! is several engines holding one long prompt together.
+//! Terms: an *attempt* is one dispatch of a request to one engine; a *hold* is engine memory kept
+//! for an owner (a stream, a reservation or an export) until it is released or expires; a *group*
+//! is several engines that hold one long prompt together.
 //!
-//! Invariants: every event of a stream carries the request and attempt it belongs to, so that a
-//! late or crossed answer can be told apart; a call whose answer is lost is `MayHaveRun`.
+//! Invariants: every event of a stream carries the request and attempt that it belongs to, so that
+//! a late or misdirected answer can be detected; a call whose answer is lost is `MayHaveRun`.
 
 pub mod engine;
 pub mod http;
--- a/crates/upstreams/src/service/mod.rs
+++ b/crates/upstreams/src/service/mod.rs
@@ -1,25 +1,26 @@
-//! The plain service port: one HTTP exchange with one replica of a service.
+//! The plain service port, whose calls are single HTTP exchanges with one replica of a service.
 
 use bluebell_base::prelude::*;
 use serde::{Deserialize, Serialize};
 use stakker::{Core, Ret};
 
-/// One call to a plain service.
+/// A call to a plain service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceCall {
-    /// The request it serves; sent along so that the service's own logs can name it.
+    /// The request that the call serves. It is sent along so that the service's own logs can name
+    /// it.
     pub request: RequestId,
     /// The HTTP method.
     pub method: Arc<str>,
-    /// The path and query behind the routed prefix, beginning with `/`.
+    /// The path and query after the routed prefix, beginning with `/`.
     pub path: Arc<str>,
-    /// The body's media type, where there is a body.
+    /// The media type of the body, if there is a body.
     pub content_type: Option<Arc<str>>,
     /// The body.
     pub body: Vec<u8>,
-    /// The caller's idempotency key, handed on for services that know it.
+    /// The caller's idempotency key, passed on for services that support it.
     pub idempotency_key: Option<IdempotencyKey>,
-    /// How long the answer may take.
+    /// The timeout of the answer.
     pub timeout_ms: SpanMs,
 }
 
@@ -28,18 +29,18 @@
 pub struct ServiceAnswer {
     /// The HTTP status code.
     pub status: u16,
-    /// The body's media type.
+    /// The media type of the body.
     pub content_type: Option<Arc<str>>,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// One replica of a plain service.
+/// The port to one replica of a plain service.
 pub trait ServicePort {
-    /// Makes the call; `NotRun` only where the connection was refused before anything was sent, or
-    /// where the service itself said so.
+    /// Sends the call. An error is `NotRun` only if the connection was refused before anything was
+    /// sent, or if the service itself reported that.
     fn call(&self, core: &mut Core, call: ServiceCall, ret: Ret<Result<ServiceAnswer, Error>>);
 
-    /// Probes whether the replica takes work.
+    /// Probes the replica. Succeeds if it accepts work.
     fn health(&self, core: &mut Core, ret: Ret<Result<(), Error>>);
 }
--- a/crates/upstreams/tests/idle.rs
+++ b/crates/upstreams/tests/idle.rs
@@ -1,4 +1,4 @@
-//! Connections kept to many upstreams.
+//! The number of idle connections kept to many upstreams.
 
 use bluebell_base::prelude::*;
 use bluebell_bridge::{Bridge, Inbox};
@@ -12,13 +12,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// More upstreams than connections may be kept.
+/// The number of upstreams, larger than the limit on idle connections.
 const UPSTREAMS: usize = 200;
 
-/// Connections that may be kept, as the exchanges have it.
-const KEPT: usize = 128;
+/// The limit on idle connections that the HTTP client sets.
+const MAX_IDLE_CONNECTIONS: usize = 128;
 
-/// Answers every request on one connection alike, until the other side closes it.
+/// Sends the same answer to every request on a connection, one connection at a time.
 fn serve(listener: TcpListener, open: Arc<AtomicUsize>) {
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
@@ -35,11 +35,11 @@
     });
 }
 
-/// A node asks 1,800 engines for their load, one after the other. Each kept two connections with
-/// buffers of 256 KB: 161 MB with 300 engines, more than a node's memory with 1,800. The cause was
-/// a pool for each engine.
+/// A node requests the load of 1,800 engines, one after the other. With a connection pool per
+/// engine, each engine kept two connections with buffers of 256 KB: 161 MB for 300 engines, and
+/// more than a node's memory for 1,800.
 #[test]
-fn kept_connections_are_bounded() {
+fn idle_connections_are_bounded() {
     let open = Arc::new(AtomicUsize::new(0));
     let inbox = Inbox::open();
     let bridge = Bridge::open(&inbox, 4);
@@ -71,9 +71,12 @@
         }
     }
     assert_eq!(answered.get(), UPSTREAMS);
-    while open.load(Ordering::SeqCst) > KEPT && Instant::now() < limit {
+    while open.load(Ordering::SeqCst) > MAX_IDLE_CONNECTIONS && Instant::now() < limit {
         thread::sleep(Duration::from_millis(5));
     }
     let kept = open.load(Ordering::SeqCst);
-    assert!((1..=KEPT).contains(&kept), "{kept} connections kept");
+    assert!(
+        (1..=MAX_IDLE_CONNECTIONS).contains(&kept),
+        "{kept} connections kept"
+    );
 }
