--- a/crates/peers/examples/peer_cost.rs
+++ b/crates/peers/examples/peer_cost.rs
@@ -1,4 +1,4 @@
-//! Measures what calls between nodes cost over real sockets: bytes on the wire with all headers,
+//! Measures the cost of calls between nodes over real sockets: bytes on the wire with all headers,
 //! and processor time of caller and server together.
 //!
 //! `cargo run --release -p bluebell-peers --features fakes --example peer_cost`
@@ -18,7 +18,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Passes one connection after the other on to `to` and counts its bytes.
+/// Forwards connections to `to` and counts their bytes. Returns the address to connect to.
 fn relay(to: Address, count: Arc<AtomicU64>) -> Address {
     let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
     let address = listener.local_addr().expect("bound");
@@ -51,7 +51,8 @@
     }
 }
 
-/// Processor time of this process so far, from the system's clock ticks of a hundredth second.
+/// Returns the processor time that this process has used, in seconds, from the system's clock ticks
+/// of 1/100 second.
 fn cpu_s() -> f64 {
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields = stat.rsplit(") ").next().unwrap_or_default();
@@ -118,7 +119,7 @@
     })
 }
 
-/// Makes `count` calls, `width` at a time.
+/// Makes `count` calls, of which `width` are in progress at once.
 fn run(
     stakker: &mut Stakker,
     inbox: &Inbox,
--- a/crates/peers/src/client/mod.rs
+++ b/crates/peers/src/client/mod.rs
@@ -1,7 +1,7 @@
-//! Calls to peers over `jsonrpsee`'s HTTP client.
+//! Calls peers with `jsonrpsee`'s HTTP client.
 //!
-//! Invariants: connections are reused by address; the number of calls under way is bounded; a
-//! call is `NotRun` only where no connection could be made or it was never sent.
+//! Invariants: connections are reused per address; the number of calls in progress is bounded; a
+//! call is `NotRun` only if no connection could be made or the call was never sent.
 
 use crate::envelope::{Reply, SealedAnswer, SealedCall};
 use crate::message::{PeerAnswer, PeerCall};
@@ -23,8 +23,9 @@
 use std::sync::{Mutex, PoisonError};
 use tokio::sync::Semaphore;
 
-/// Peers whose connections are kept; one more and all are opened anew.
-const KEPT_PEERS: usize = 1024;
+/// The maximum number of peers with open connections. If one more is called, all clients are
+/// discarded and opened again as needed.
+const MAX_OPEN_PEERS: usize = 1024;
 
 /// Calls peers by JSON-RPC over HTTP.
 #[derive(Debug)]
@@ -34,7 +35,7 @@
     slots: Arc<Semaphore>,
 }
 
-/// The open clients by address.
+/// The HTTP clients by peer address.
 #[derive(Debug)]
 struct Clients {
     settings: Arc<PeerSettings>,
@@ -42,7 +43,7 @@
     by_address: Mutex<HashMap<Address, HttpClient>>,
 }
 
-/// The parameters of the one JSON-RPC method, already encoded.
+/// The encoded parameters of the JSON-RPC method.
 struct Encoded(Box<RawValue>);
 
 impl ToRpcParams for Encoded {
@@ -52,7 +53,7 @@
 }
 
 impl JsonRpcPeers {
-    /// Opens the port; connections are made as they are needed.
+    /// Opens the port. Connections are opened as needed.
     pub fn open(runtime: &PeerRuntime) -> Rc<dyn PeerPort> {
         let clients = Clients {
             settings: Arc::clone(&runtime.settings),
@@ -97,8 +98,8 @@
         let kind = CallKind::of(&call);
         let secret = &self.settings.secret;
         let nonce = nonce();
-        let sealed = SealedCall::seal(secret, wall_ms(), nonce, &call).map_err(unsendable)?;
-        let params = serde_json::value::to_raw_value(&sealed).map_err(unsendable)?;
+        let sealed = SealedCall::seal(secret, wall_ms(), nonce, &call).map_err(encode_error)?;
+        let params = serde_json::value::to_raw_value(&sealed).map_err(encode_error)?;
         if params.get().len() as u64 > self.settings.max_body_bytes.0 {
             return Err(Error::not_run(
                 ErrorKind::TooLarge,
@@ -112,12 +113,13 @@
             .map_err(|error| call_error(to, &error))?;
         self.stats
             .answer_received(kind, answer.mac.len() + answer.body.get().len());
-        // Whoever can't sign the answer is not a peer; what it did with the call is unknown.
+        // An answer without a valid signature doesn't come from a peer, so the effect of the call
+        // is unknown.
         answer
             .verify(secret, nonce)
-            .map_err(|error| lost(to, &error))?;
+            .map_err(|error| lost_answer(to, &error))?;
         let reply: Reply =
-            serde_json::from_str(answer.body.get()).map_err(|error| lost(to, &error))?;
+            serde_json::from_str(answer.body.get()).map_err(|error| lost_answer(to, &error))?;
         reply.into()
     }
 
@@ -129,7 +131,7 @@
         if let Some(client) = clients.get(to) {
             return Ok(client.clone());
         }
-        if clients.len() >= KEPT_PEERS {
+        if clients.len() >= MAX_OPEN_PEERS {
             clients.clear();
         }
         let client = self.open(to)?;
@@ -153,22 +155,24 @@
     }
 }
 
-fn unsendable(error: serde_json::Error) -> Error {
+fn encode_error(error: serde_json::Error) -> Error {
     Error::not_run(
         ErrorKind::Internal,
         format!("a call can't be encoded: {error}"),
     )
 }
 
-fn lost(to: &Address, error: &dyn StdError) -> Error {
+fn lost_answer(to: &Address, error: &dyn StdError) -> Error {
     Error::may_have_run(
         ErrorKind::Unavailable,
         format!("the answer of peer {to} is lost: {error}"),
     )
 }
 
-/// Only a refused connection proves that the call did not arrive; a connection that timed out or
-/// broke may have carried it. A refusal that no peer has signed proves nothing either.
+/// Returns the error for a call without a signed answer.
+///
+/// Only a refused connection proves that the call did not arrive. A connection that timed out or
+/// broke may have carried it, and a refusal that no peer signed proves nothing.
 fn call_error(to: &Address, error: &ClientError) -> Error {
     if is_refused(error) {
         return Error::not_run(
@@ -176,7 +180,7 @@
             format!("peer {to} refuses connections"),
         );
     }
-    lost(to, error)
+    lost_answer(to, error)
 }
 
 fn is_refused(error: &(dyn StdError + 'static)) -> bool {
--- a/crates/peers/src/envelope/mod.rs
+++ b/crates/peers/src/envelope/mod.rs
@@ -1,12 +1,12 @@
 //! The signed envelope around each call and answer.
 //!
-//! Terms: the *MAC* is HMAC-SHA-256 under the fleet's secret, cut to its first 128 bits, over the
-//! purpose, the time, the nonce and the exact text of the body; a *nonce* is drawn at random for
-//! each call.
+//! Terms: the *MAC* is HMAC-SHA-256 under the fleet's secret, truncated to its first 128 bits, over
+//! the purpose, the time, the nonce and the exact text of the body; a *nonce* is a random number
+//! drawn for each call.
 //!
-//! Invariants: a body is decoded only after its MAC was found right, in constant time; an answer's
-//! MAC covers the nonce of its call, so an answer can't be passed off as that of another call; a
-//! call is taken at most once while its time is within the allowed clock skew.
+//! Invariants: a body is decoded only after its MAC was verified in constant time; an answer's MAC
+//! covers the nonce of its call, so an answer can't be passed off as the answer to another call; a
+//! call is accepted at most once while its time is within the allowed clock skew.
 
 mod replay;
 
@@ -22,53 +22,53 @@
 use serde_json::value::RawValue;
 use sha2::Sha256;
 
-/// The length of a MAC on the wire.
+/// The length of a MAC on the wire, in bytes.
 const MAC_BYTES: usize = 16;
 
 type HmacSha256 = Hmac<Sha256>;
 
-/// Tells the MAC of a call from that of an answer.
+/// Prefixes that make the MAC of a call differ from that of an answer.
 const CALL_PURPOSE: &[u8] = b"bluebellpond peer call v1";
 const ANSWER_PURPOSE: &[u8] = b"bluebellpond peer answer v1";
 
-/// Why an envelope was not opened.
+/// The reason for refusing an envelope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EnvelopeError {
-    /// The MAC is wrong: another secret, or a changed body.
+    /// The MAC is wrong, because of another secret or a changed envelope.
     #[error("the signature is wrong")]
     BadSignature,
-    /// The time is too far from this VM's.
+    /// The call's time differs from this VM's wall clock by more than the allowed skew.
     #[error("the call's time differs too much from this VM's wall clock")]
     BadTime,
-    /// The nonce was seen before.
+    /// The nonce was already used by an earlier call.
     #[error("the call was seen before")]
     Replayed,
 }
 
-/// A call as it travels.
+/// A signed call as sent on the wire.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SealedCall {
-    /// The caller's wall clock.
+    /// The caller's wall-clock time.
     #[serde(rename = "t")]
     pub sent_ms: WallMs,
-    /// Drawn at random for this call.
+    /// The random number drawn for this call.
     #[serde(rename = "n")]
     pub nonce: u64,
     /// The MAC, in base64.
     #[serde(rename = "m")]
     pub mac: Arc<str>,
-    /// The call's exact text.
+    /// The exact text of the call.
     #[serde(rename = "c")]
     pub body: Box<RawValue>,
 }
 
-/// An answer as it travels.
+/// A signed answer as sent on the wire.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SealedAnswer {
     /// The MAC, in base64.
     #[serde(rename = "m")]
     pub mac: Arc<str>,
-    /// The answer's exact text.
+    /// The exact text of the answer.
     #[serde(rename = "a")]
     pub body: Box<RawValue>,
 }
@@ -79,7 +79,7 @@
 pub enum Reply {
     /// The answer to the call.
     Ok(PeerAnswer),
-    /// The called node's refusal or failure.
+    /// The error of the called node.
     Err(Error),
 }
 
@@ -119,14 +119,14 @@
         })
     }
 
-    /// Checks the MAC, then the time and the nonce.
+    /// Verifies the MAC, then the time and the nonce.
     pub fn verify(
         &self,
         secret: &FleetSecret,
         now_ms: WallMs,
         guard: &mut ReplayGuard,
     ) -> Result<(), EnvelopeError> {
-        check(
+        verify_mac(
             call_mac(secret, self.sent_ms, self.nonce, &self.body),
             &self.mac,
         )?;
@@ -135,7 +135,7 @@
 }
 
 impl SealedAnswer {
-    /// Signs an answer to the call with this nonce.
+    /// Signs an answer to the call with the given nonce.
     pub fn seal(
         secret: &FleetSecret,
         nonce: u64,
@@ -149,9 +149,9 @@
         })
     }
 
-    /// Checks that this answers the call with this nonce.
+    /// Verifies that this answers the call with the given nonce.
     pub fn verify(&self, secret: &FleetSecret, nonce: u64) -> Result<(), EnvelopeError> {
-        check(answer_mac(secret, nonce, &self.body), &self.mac)
+        verify_mac(answer_mac(secret, nonce, &self.body), &self.mac)
     }
 }
 
@@ -176,12 +176,12 @@
     mac
 }
 
-/// Compares in constant time, so that the time taken tells nothing of the right MAC.
-fn check(mac: HmacSha256, given: &str) -> Result<(), EnvelopeError> {
+/// Verifies a MAC in constant time, so that the duration reveals nothing about the correct MAC.
+fn verify_mac(mac: HmacSha256, given: &str) -> Result<(), EnvelopeError> {
     let given = STANDARD_NO_PAD
         .decode(given)
         .map_err(|_| EnvelopeError::BadSignature)?;
-    // A shorter one would be easier to guess.
+    // A shorter MAC would be easier to guess.
     if given.len() != MAC_BYTES {
         return Err(EnvelopeError::BadSignature);
     }
--- a/crates/peers/src/fakes/mod.rs
+++ b/crates/peers/src/fakes/mod.rs
@@ -1,11 +1,11 @@
-//! An in-process net between nodes under virtual time, with faults that can be switched while it
-//! runs.
+//! An in-process network between nodes under virtual time, with faults that can be switched while
+//! it runs.
 //!
-//! Terms: a *link* is the way from one address to another; a *cut* link carries nothing, and the
-//! caller learns of it only by its timeout.
+//! Terms: a *link* is the path from one address to another; a *cut* link delivers nothing, and the
+//! caller only notices by its timeout.
 //!
-//! Invariants: same seed and same calls, same faults; every call is answered or timed out; calls
-//! and answers pass through their JSON codec, as on the wire.
+//! Invariants: the same seed and the same calls give the same faults; every call is answered or
+//! times out; calls and answers pass through their JSON codec, as on the wire.
 
 use crate::envelope::Reply;
 use crate::message::{PeerAnswer, PeerCall};
@@ -22,18 +22,18 @@
 
 type Answer = Result<PeerAnswer, Error>;
 
-/// What may go wrong on every link.
+/// The faults that apply to every link.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NetFaults {
-    /// The shortest time one way; different times on one link reorder its calls.
+    /// The minimum one-way latency. Varying latencies on a link reorder its calls.
     pub min_latency_ms: SpanMs,
-    /// The longest time one way.
+    /// The maximum one-way latency.
     pub max_latency_ms: SpanMs,
-    /// The share of calls that never arrive.
+    /// The fraction of calls that never arrive.
     pub lost_calls: f64,
-    /// The share of calls that take effect but whose answer is lost.
+    /// The fraction of calls that take effect but whose answer is lost.
     pub lost_answers: f64,
-    /// The share of calls that arrive twice.
+    /// The fraction of calls that arrive twice.
     pub duplicated_calls: f64,
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// The net; cheap to clone.
+/// The in-process network. It is cheap to clone.
 #[derive(Clone)]
 pub struct FakeNet {
     inner: Rc<RefCell<Inner>>,
@@ -64,18 +64,18 @@
     cut: HashSet<(Address, Address)>,
 }
 
-/// One node's way into the net.
+/// One node's port to the network.
 pub struct FakePeers {
     net: FakeNet,
     from: Address,
     stats: Arc<PeerStats>,
 }
 
-/// The waiting `Ret` of a call; taken by the answer or the timeout, whichever comes first.
+/// The `Ret` of a call in progress. The answer or the timeout takes it, whichever comes first.
 type Waiting = Rc<RefCell<Option<Ret<Answer>>>>;
 
 impl FakeNet {
-    /// Opens a net without faults and a millisecond of latency.
+    /// Opens a network without faults and with a latency of one millisecond.
     pub fn open(timers: &Timers, call_timeout_ms: SpanMs, seed: u64) -> Self {
         let inner = Inner {
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -90,18 +90,18 @@
         }
     }
 
-    /// Puts a node at an address; its calls go to `incoming`.
+    /// Registers a node at an address. Calls to it are sent to `incoming`.
     pub fn register(&self, address: &Address, incoming: Fwd<Incoming>) {
         let nodes = &mut self.inner.borrow_mut().nodes;
         nodes.insert(address.clone(), incoming);
     }
 
-    /// Takes the node at an address away; calls there are refused.
+    /// Removes the node at an address. Calls to it are then refused.
     pub fn unregister(&self, address: &Address) {
         self.inner.borrow_mut().nodes.remove(address);
     }
 
-    /// The port of the node at `from`.
+    /// Returns the port of the node at `from`.
     pub fn port(&self, from: &Address) -> Rc<FakePeers> {
         Rc::new(FakePeers {
             net: self.clone(),
@@ -115,14 +115,14 @@
         self.inner.borrow_mut().faults = faults;
     }
 
-    /// Cuts the link both ways.
+    /// Cuts the links in both directions.
     pub fn cut(&self, a: &Address, b: &Address) {
         let cut = &mut self.inner.borrow_mut().cut;
         cut.insert((a.clone(), b.clone()));
         cut.insert((b.clone(), a.clone()));
     }
 
-    /// Mends the link both ways.
+    /// Restores the links in both directions.
     pub fn mend(&self, a: &Address, b: &Address) {
         let cut = &mut self.inner.borrow_mut().cut;
         cut.remove(&(a.clone(), b.clone()));
@@ -146,7 +146,8 @@
         self.inner.borrow().cut.contains(&link)
     }
 
-    /// Brings the call to the node, or tells the caller that nobody is there.
+    /// Delivers the call to the node, or sends an error to the caller if there is no node at the
+    /// address.
     fn arrive(
         &self,
         core: &mut Core,
@@ -241,7 +242,7 @@
 }
 
 impl FakePeers {
-    /// The counts of this node's calls.
+    /// Returns the counters of this node's calls.
     pub fn stats(&self) -> Arc<PeerStats> {
         Arc::clone(&self.stats)
     }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,9 +1,9 @@
-//! Node to node: the typed messages between nodes, carried by `jsonrpsee` behind a trait object.
+//! Communication between nodes: typed messages, carried by `jsonrpsee` behind a trait object.
 //!
-//! Terms: a *peer* is another node; a *card* is what a node says of itself.
+//! Terms: a *peer* is another node; a *card* is a node's description of itself.
 //!
-//! Invariants: every exchange is authenticated by the fleet's shared secret; a call whose answer
-//! is lost is `MayHaveRun`.
+//! Invariants: every exchange is authenticated by the fleet's shared secret; a call whose answer is
+//! lost is `MayHaveRun`.
 
 mod client;
 pub mod envelope;
@@ -29,9 +29,9 @@
 use stakker::{Core, Ret};
 use std::hash::{BuildHasher, RandomState};
 
-/// Calls to peers.
+/// A port for calls to peers.
 pub trait PeerPort {
-    /// Calls the peer at `to`.
+    /// Sends a call to the peer at `to`.
     fn call(
         &self,
         core: &mut Core,
@@ -41,15 +41,16 @@
     );
 }
 
-/// A peer's call, with the way to answer it.
+/// A call from a peer, with the `Ret` that answers it.
 pub struct Incoming {
     /// The call.
     pub call: PeerCall,
-    /// Takes the answer; dropping it answers `Unavailable`.
+    /// Receives the answer. Dropping it answers `Unavailable`.
     pub ret: Ret<Result<PeerAnswer, Error>>,
 }
 
-/// A nonce from the process's randomly seeded hasher, which draws its keys from the system.
+/// Returns a nonce from the process's randomly seeded hasher, which obtains its keys from the
+/// system.
 fn nonce() -> u64 {
     RandomState::new().hash_one(runtime::wall_ms().0)
 }
--- a/crates/peers/src/message/mod.rs
+++ b/crates/peers/src/message/mod.rs
@@ -1,34 +1,34 @@
 //! The messages between nodes.
 //!
-//! Invariants: fields that a newer version added are ignored by an older one; a call of an
-//! unknown kind is answered with an error, never with a crash.
+//! Invariants: an older version ignores fields that a newer one added; a call of an unknown kind is
+//! answered with an error, never with a crash.
 
 use bluebell_base::prelude::*;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 use std::str::FromStr;
 
-/// What a node says of itself.
+/// A node's description of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeCard {
-    /// Its VM.
+    /// The name of the node's VM.
     pub name: VmName,
-    /// This run of its process.
+    /// The current run of the node's process.
     pub incarnation: Incarnation,
-    /// Where its peer interface listens.
+    /// The address of the node's peer interface.
     pub address: Address,
-    /// Its failure domain.
+    /// The failure domain of the node.
     pub domain: DomainName,
-    /// The configuration in force there.
+    /// The version of the configuration in force at the node.
     pub config: ConfigVersion,
-    /// Whether it is stopping and takes no new work.
+    /// True if the node is stopping and accepts no new work.
     pub leaving: bool,
 }
 
-/// An idempotency key's identity: a hash of the client account and the key.
+/// The identity of an idempotency key: a hash of the client account and the key.
 ///
-/// It travels as 32 hex digits: JSON numbers of 128 bits do not survive decoding into a tagged
-/// enum.
+/// It is sent as 32 hexadecimal digits, because JSON numbers of 128 bits can't be decoded into a
+/// tagged enum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClaimKey(pub u128);
 
@@ -44,7 +44,7 @@
     fn from_str(text: &str) -> Result<Self, ParseError> {
         let key = u128::from_str_radix(text, 16).map(Self);
         match key {
-            // Only the printed form is accepted, so that a text and its key are one to one.
+            // Only the printed form is accepted, so that each key has exactly one text.
             Ok(key) if key.to_string() == text => Ok(key),
             _ => Err(ParseError::new("ClaimKey", text)),
         }
@@ -64,24 +64,24 @@
     }
 }
 
-/// A call to claim a key for one request.
+/// A call that claims a key for one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimCall {
     /// The key.
     pub key: ClaimKey,
-    /// A hash of what is to be run, to tell a retry from another use of the key.
+    /// A hash of the work to run, which distinguishes a retry from another use of the key.
     pub fingerprint: u64,
-    /// The request that wants to run.
+    /// The request that claims the key.
     pub request: RequestId,
 }
 
-/// How far the request that holds a key has come.
+/// The state of the request that holds a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimState {
-    /// It holds the key; it may have run.
+    /// The request holds the key and may have run.
     Pending,
-    /// It ran.
+    /// The request ran.
     Ran,
 }
 
@@ -93,73 +93,73 @@
     Granted,
     /// Another request holds the key.
     Held {
-        /// That request.
+        /// The request that holds the key.
         by: RequestId,
-        /// How far it has come.
+        /// The state of the request.
         state: ClaimState,
-        /// Whether the fingerprint is the same.
+        /// True if both requests have the same fingerprint.
         same: bool,
     },
 }
 
-/// What became of a claimed request.
+/// The outcome of a request that claimed a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Settlement {
-    /// It ran; the key is used up.
+    /// The request ran, so the key can't be claimed again.
     Ran,
-    /// It certainly did not run; the key is free again.
+    /// The request certainly did not run, so the key can be claimed again.
     NotRun,
 }
 
-/// A call to settle a claim.
+/// A call that settles a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettleCall {
     /// The key.
     pub key: ClaimKey,
-    /// The request that holds it.
+    /// The request that holds the key.
     pub request: RequestId,
-    /// What became of it.
+    /// The outcome of the request.
     pub settlement: Settlement,
 }
 
-/// How far a request has come, as a caller reads it.
+/// The state of a request as reported to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestState {
-    /// No upstream has it.
+    /// The request was not sent to an upstream yet.
     Queued,
-    /// An upstream has it.
+    /// The request was sent to an upstream.
     Running,
-    /// It ended with a whole answer.
+    /// The request ended with a complete answer.
     Finished,
-    /// It ended without one.
+    /// The request ended without a complete answer.
     Failed,
 }
 
 impl RequestState {
-    /// Whether it has ended.
+    /// Returns true if the request has ended.
     pub fn is_ended(self) -> bool {
         matches!(self, Self::Finished | Self::Failed)
     }
 }
 
-/// What a node knows of a request it admitted.
+/// A report on a request by the node that admitted it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestReport {
     /// The request.
     pub request: RequestId,
-    /// Whose it is; others get "not found".
+    /// The account that made the request. Other accounts receive "not found".
     pub account: AccountName,
-    /// How far it has come.
+    /// The state of the request.
     pub state: RequestState,
-    /// The verdict so far.
+    /// The current verdict.
     pub verdict: Verdict,
-    /// Events delivered so far.
+    /// The number of events delivered so far.
     pub events: u64,
-    /// The upstream that runs it, with the attempt, where it has been sent to one.
+    /// The upstream that runs the request. `None` if it was not sent to one yet.
     pub upstream: Option<UpstreamName>,
-    /// That attempt.
+    /// The number of the attempt at that upstream.
     pub attempt: AttemptNo,
 }
 
@@ -167,23 +167,24 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "call", rename_all = "snake_case")]
 pub enum PeerCall {
-    /// Are you there? Tells the caller's card and what it knows of leaving upstreams.
+    /// Checks that the peer is alive. Sends the caller's card and the upstreams that it knows to be
+    /// leaving.
     Probe {
-        /// The caller.
+        /// The caller's card.
         card: NodeCard,
-        /// Upstreams that lately refused work because they leave.
+        /// The upstreams that recently refused work because they are leaving.
         leaving: Vec<UpstreamName>,
     },
-    /// Claim an idempotency key; for the owner of its shard.
+    /// Claims an idempotency key. It is sent to the owner of the key's shard.
     Claim(ClaimCall),
-    /// Settle a claim.
+    /// Settles a claim.
     Settle(SettleCall),
-    /// Give me the configuration if yours is newer than this version.
+    /// Requests the configuration if the peer's one is newer than the caller's.
     Config {
-        /// The caller's version.
+        /// The version of the caller's configuration.
         have: ConfigVersion,
     },
-    /// What do you know of this request?
+    /// Requests a report on a request.
     Request {
         /// The request.
         request: RequestId,
@@ -194,27 +195,27 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "answer", rename_all = "snake_case")]
 pub enum PeerAnswer {
-    /// To `Probe`.
+    /// The answer to `Probe`.
     Probe {
-        /// The answering node.
+        /// The answering node's card.
         card: NodeCard,
-        /// Upstreams that lately refused work there because they leave.
+        /// The upstreams that recently refused the answering node's work because they are leaving.
         leaving: Vec<UpstreamName>,
     },
-    /// To `Claim`.
+    /// The answer to `Claim`.
     Claim(ClaimAnswer),
-    /// To `Settle`.
+    /// The answer to `Settle`.
     Settled,
-    /// To `Config`.
+    /// The answer to `Config`.
     Config {
-        /// The version in force there.
+        /// The version in force at the answering node.
         version: ConfigVersion,
-        /// Its text, where it is newer than the asked one.
+        /// The text of the configuration. `None` if the version isn't newer than the caller's.
         body: Option<Arc<str>>,
     },
-    /// To `Request`; none where it is not known there.
+    /// The answer to `Request`.
     Request {
-        /// What is known.
+        /// The report. `None` if the answering node doesn't know the request.
         report: Option<RequestReport>,
     },
 }
--- a/crates/peers/src/runtime/mod.rs
+++ b/crates/peers/src/runtime/mod.rs
@@ -1,4 +1,4 @@
-//! The runtime that carries calls to and from peers, shared by client and server.
+//! The runtime for calls to and from peers, shared by client and server.
 
 use crate::settings::PeerSettings;
 use crate::stats::PeerStats;
@@ -8,7 +8,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::runtime::{Builder, Runtime};
 
-/// The threads, settings and counters of a node's peer interface; cheap to clone.
+/// The threads, settings and counters of a node's peer interface. It is cheap to clone.
 #[derive(Clone, Debug)]
 pub struct PeerRuntime {
     pub(crate) runtime: Arc<BackgroundRuntime>,
@@ -17,7 +17,7 @@
     pub(crate) stats: Arc<PeerStats>,
 }
 
-/// A runtime that ends without waiting for its tasks.
+/// A runtime that shuts down without waiting for its tasks.
 #[derive(Debug)]
 pub(crate) struct BackgroundRuntime(Option<Runtime>);
 
@@ -37,7 +37,7 @@
         })
     }
 
-    /// The counts of calls and bytes.
+    /// Returns the counters of calls and bytes.
     pub fn stats(&self) -> Arc<PeerStats> {
         Arc::clone(&self.stats)
     }
@@ -57,7 +57,7 @@
     }
 }
 
-/// This VM's wall clock, for the time in signed calls only.
+/// Returns this VM's wall-clock time. It is only used in signed calls.
 pub(crate) fn wall_ms() -> WallMs {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     WallMs(since.map_or(0, |since| since.as_millis() as u64))
--- a/crates/peers/src/server/mod.rs
+++ b/crates/peers/src/server/mod.rs
@@ -1,11 +1,12 @@
-//! The peer interface of a node: one JSON-RPC method that takes a signed [`PeerCall`].
+//! The peer interface of a node: a JSON-RPC server with one method, which accepts a signed
+//! [`PeerCall`].
 //!
-//! One method for all kinds, not one for each: the signature covers kind and arguments alike, a
-//! new kind needs no registration, and an older node answers a kind that it does not know with a
-//! signed error of the same form as any other refusal.
+//! There is one method for all kinds of call, rather than one per kind: the signature covers kind
+//! and arguments alike, a new kind needs no registration, and an older node answers an unknown kind
+//! with a signed error of the same form as any other refusal.
 //!
-//! Invariants: nothing of an unsigned call reaches an actor; the calls served at once are bounded;
-//! no content of a call can make the server panic.
+//! Invariants: no part of an unsigned call reaches an actor; the number of calls served at once is
+//! bounded; no content of a call can make the server panic.
 
 use crate::Incoming;
 use crate::envelope::{ReplayGuard, Reply, SealedAnswer, SealedCall};
@@ -24,17 +25,17 @@
 use std::time::Duration;
 use tokio::sync::{Semaphore, oneshot};
 
-/// The one method.
+/// The name of the JSON-RPC method.
 pub(crate) const CALL_METHOD: &str = "peer";
 
-/// JSON-RPC error codes of refusals before a call is known to come from a peer.
+/// JSON-RPC error codes of refusals that are sent before a call is known to come from a peer.
 const UNAUTHENTICATED_CODE: i32 = -32001;
 const MALFORMED_CODE: i32 = -32602;
 const INTERNAL_CODE: i32 = -32603;
 
 type Answer = Result<PeerAnswer, Error>;
 
-/// A running peer interface; it stops when dropped.
+/// A running peer interface. It stops when dropped.
 #[derive(Debug)]
 pub struct PeerServer {
     address: Address,
@@ -42,23 +43,23 @@
     _runtime: PeerRuntime,
 }
 
-/// A call on its way to the actor thread.
-struct Arrived {
+/// A received call that is passed to the actor thread.
+struct ReceivedCall {
     call: PeerCall,
     reply: oneshot::Sender<Answer>,
 }
 
-/// What serving a call needs.
+/// The state that serving a call requires.
 struct Service {
     settings: Arc<PeerSettings>,
     stats: Arc<PeerStats>,
     guard: Mutex<ReplayGuard>,
     slots: Semaphore,
-    arrivals: EventSender<Arrived>,
+    received_calls: EventSender<ReceivedCall>,
 }
 
 impl PeerServer {
-    /// Listens on `address` (port 0: any free one); each call goes to `incoming`.
+    /// Listens on `address` and sends each call to `incoming`. Port 0 selects any free port.
     pub fn bind(
         runtime: &PeerRuntime,
         address: &Address,
@@ -82,14 +83,14 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens at.
     pub fn address(&self) -> &Address {
         &self.address
     }
 
-    /// Stops listening; calls being served may still be answered.
+    /// Stops listening. Calls in progress may still be answered.
     pub fn stop(&self) {
-        // An error says that it has stopped already.
+        // An error means that the server has already stopped.
         let _ = self.handle.stop();
     }
 }
@@ -115,12 +116,14 @@
 impl Service {
     fn new(runtime: &PeerRuntime, incoming: Fwd<Incoming>) -> Self {
         let settings = Arc::clone(&runtime.settings);
-        let arrivals = Fwd::new(move |arrived: Arrived| incoming.fwd(arrived.into_incoming()));
+        let received_calls = Fwd::new(move |received_call: ReceivedCall| {
+            incoming.fwd(received_call.into_incoming())
+        });
         Self {
             stats: runtime.stats(),
             guard: Mutex::new(ReplayGuard::new(settings.max_clock_skew_ms)),
             slots: Semaphore::new(settings.max_served),
-            arrivals: runtime.bridge.sender_to(arrivals),
+            received_calls: runtime.bridge.sender_to(received_calls),
             settings,
         }
     }
@@ -164,16 +167,17 @@
             .verify(&self.settings.secret, wall_ms(), &mut guard)
             .map_err(|error| {
                 let count = self.stats.call_refused();
-                // Anybody can send such calls; they must not fill the log.
+                // Anybody can send such calls, so only counts that are powers of two are logged.
                 if count.is_power_of_two() {
-                    log::warn!("call {count} to the peer interface was refused: {error}");
+                    log::warn!("refused a call to the peer interface ({count} so far): {error}");
                 }
                 refusal(UNAUTHENTICATED_CODE, &error.to_string())
             })?;
         Ok(sealed)
     }
 
-    /// A peer of another version sent a kind of call, or a form of it, that is unknown here.
+    /// Returns the error for a signed call that can't be decoded. A peer of another version sent a
+    /// kind or form of call that is unknown here.
     fn undecodable(&self, error: &serde_json::Error) -> Answer {
         self.stats.call_refused();
         Err(Error::not_run(
@@ -188,7 +192,7 @@
             return Err(error.retry_after(RETRY_AFTER_MS));
         };
         let (reply, answer) = oneshot::channel();
-        if !self.arrivals.send(Arrived { call, reply }) {
+        if !self.received_calls.send(ReceivedCall { call, reply }) {
             return Err(Error::not_run(ErrorKind::Unavailable, "the node has ended"));
         }
         let limit = Duration::from(self.settings.call_timeout_ms);
@@ -199,12 +203,12 @@
     }
 }
 
-impl Arrived {
-    /// Made on the actor thread, which `Ret` never leaves.
+impl ReceivedCall {
+    /// Converts the call on the actor thread, because a `Ret` can't leave that thread.
     fn into_incoming(self) -> Incoming {
         let reply = self.reply;
         let ret = Ret::new(move |answer: Option<Answer>| {
-            // The caller may have gone; then nobody wants the answer.
+            // Sending fails if the caller has disconnected. The answer is then discarded.
             let _ = reply.send(answer.unwrap_or_else(|| Err(unanswered())));
         });
         Incoming {
--- a/crates/peers/src/settings/mod.rs
+++ b/crates/peers/src/settings/mod.rs
@@ -1,29 +1,32 @@
-//! The settings of the peer interface, and the fleet's shared secret.
+//! The settings of the peer interface and the fleet's shared secret.
 //!
-//! Invariants: the secret never prints; its `Debug` shows only that there is one.
+//! Invariants: the secret is never printed; its `Debug` output only shows that it exists.
 
 use bluebell_base::prelude::*;
 use std::fmt;
 
-/// The shortest secret accepted, in bytes.
-const SHORTEST_SECRET_BYTES: usize = 16;
+/// The minimum length of the secret, in bytes.
+const MIN_SECRET_BYTES: usize = 16;
 
-/// When to come back after too many calls were under way or being served.
+/// The `Retry-After` time of a call that is refused because too many calls are in progress.
 pub(crate) const RETRY_AFTER_MS: SpanMs = SpanMs(500);
 
-/// The secret that all nodes of the fleet share.
+/// The secret shared by all nodes of the fleet.
 #[derive(Clone, PartialEq, Eq)]
 pub struct FleetSecret(Arc<[u8]>);
 
-/// A secret too short to protect anything.
+/// An error for a secret that is too short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the fleet's secret has fewer than {SHORTEST_SECRET_BYTES} bytes")]
+#[error("the fleet's secret has fewer than {MIN_SECRET_BYTES} bytes")]
 pub struct WeakSecret;
 
 impl FleetSecret {
-    /// Takes the secret from settings.
+    /// Creates the secret from the text in the settings.
+    ///
+    /// # Errors
+    /// [`WeakSecret`] if the text is shorter than the minimum length.
     pub fn new(text: &str) -> Result<Self, WeakSecret> {
-        if text.len() < SHORTEST_SECRET_BYTES {
+        if text.len() < MIN_SECRET_BYTES {
             return Err(WeakSecret);
         }
         Ok(Self(text.as_bytes().into()))
@@ -45,29 +48,30 @@
 pub struct PeerSettings {
     /// The fleet's shared secret.
     pub secret: FleetSecret,
-    /// How long a call may take, connecting included.
+    /// The timeout of a call, including the time to connect.
     pub call_timeout_ms: SpanMs,
-    /// Calls that may be under way to peers at once.
+    /// The maximum number of calls to peers in progress at once.
     pub max_calls: usize,
-    /// Calls of peers that may be served at once.
+    /// The maximum number of peers' calls served at once.
     pub max_served: usize,
-    /// Connections of peers that may be open at once.
+    /// The maximum number of open connections from peers.
     pub max_connections: u32,
-    /// The largest call or answer.
+    /// The maximum size of a call or answer.
     pub max_body_bytes: Bytes,
-    /// How far two VMs' wall clocks may differ before a call is refused as a replay.
+    /// The maximum difference between two VMs' wall clocks. A call outside it is refused as a
+    /// possible replay.
     pub max_clock_skew_ms: SpanMs,
-    /// Threads of the runtime that carries the calls.
+    /// The number of threads of the runtime.
     pub worker_threads: usize,
 }
 
 impl PeerSettings {
-    /// The largest call or answer, as the library counts it.
+    /// Returns the maximum size of a call or answer in the library's type.
     pub(crate) fn body_limit_bytes(&self) -> u32 {
         u32::try_from(self.max_body_bytes.0).unwrap_or(u32::MAX)
     }
 
-    /// The defaults, with the secret given.
+    /// Returns the default settings with the given secret.
     pub fn new(secret: FleetSecret) -> Self {
         Self {
             secret,
--- a/crates/peers/src/stats/mod.rs
+++ b/crates/peers/src/stats/mod.rs
@@ -1,13 +1,13 @@
-//! Counts of calls and bytes by kind of call, for the control budget of a node.
+//! Counts calls and bytes by kind of call, for the control budget of a node.
 //!
-//! Bytes are those of the signed JSON bodies; the HTTP headers around them are not counted.
+//! Bytes are those of the signed JSON bodies, without the HTTP headers.
 
 use crate::message::PeerCall;
 use bluebell_base::prelude::*;
 use serde::{Deserialize, Serialize};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The kinds of call that are counted apart.
+/// The kinds of call that are counted separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallKind {
@@ -24,7 +24,7 @@
 }
 
 impl CallKind {
-    /// All kinds, in the order of the counts.
+    /// All kinds, in the order of the counters.
     pub const ALL: [Self; 5] = [
         Self::Probe,
         Self::Claim,
@@ -33,7 +33,7 @@
         Self::Request,
     ];
 
-    /// The kind of a call.
+    /// Returns the kind of a call.
     pub fn of(call: &PeerCall) -> Self {
         match call {
             PeerCall::Probe { .. } => Self::Probe,
@@ -45,16 +45,16 @@
     }
 }
 
-/// What one kind of call has cost so far.
+/// The counts of one kind of call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallCount {
-    /// Calls made to peers.
+    /// The number of calls sent to peers.
     pub calls_sent: u64,
-    /// Calls of peers served.
+    /// The number of peers' calls served.
     pub calls_received: u64,
-    /// Bytes sent: own calls, and answers to peers.
+    /// The bytes sent: calls to peers and answers to their calls.
     pub sent_bytes: Bytes,
-    /// Bytes received: calls of peers, and answers to own calls.
+    /// The bytes received: calls from peers and answers to calls from this node.
     pub received_bytes: Bytes,
 }
 
@@ -66,7 +66,7 @@
     received_bytes: AtomicU64,
 }
 
-/// The counters of one node's peer interface; counted from any thread.
+/// The counters of one node's peer interface. Any thread can update them.
 #[derive(Debug, Default)]
 pub struct PeerStats {
     kinds: [Counter; CallKind::ALL.len()],
@@ -74,7 +74,7 @@
 }
 
 impl PeerStats {
-    /// The counts of one kind.
+    /// Returns the counts of one kind of call.
     pub fn count(&self, kind: CallKind) -> CallCount {
         let counter = &self.kinds[kind as usize];
         CallCount {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Calls refused: not authenticated, replayed or malformed.
+    /// Returns the number of refused calls: not authenticated, replayed or malformed.
     pub fn refused(&self) -> u64 {
         self.refused.load(Ordering::Relaxed)
     }
@@ -110,7 +110,7 @@
         add(&self.kinds[kind as usize].sent_bytes, bytes);
     }
 
-    /// Counts a refusal; tells how many there have been.
+    /// Counts a refusal and returns the number of refusals so far.
     pub(crate) fn call_refused(&self) -> u64 {
         self.refused.fetch_add(1, Ordering::Relaxed) + 1
     }
--- a/crates/peers/tests/envelope.rs
+++ b/crates/peers/tests/envelope.rs
@@ -1,4 +1,5 @@
-//! The signed envelope: changed, copied, late and foreign calls and answers; hostile bodies.
+//! Tests the signed envelope with changed, copied, late and foreign calls and answers, and with
+//! hostile bodies.
 
 use bluebell_base::prelude::*;
 use bluebell_peers::envelope::{EnvelopeError, ReplayGuard, Reply, SealedAnswer, SealedCall};
@@ -31,7 +32,7 @@
 }
 
 #[test]
-fn only_the_call_as_it_was_signed_is_taken() {
+fn only_an_unchanged_call_is_accepted() {
     type Change = fn(&mut SealedCall);
     let cases: [(&str, Change, Result<(), EnvelopeError>); 7] = [
         ("unchanged", |_| (), Ok(())),
@@ -77,7 +78,7 @@
     assert_eq!(foreign, Err(EnvelopeError::BadSignature));
 }
 
-/// Somebody on the network records a call and sends it again, at once or later.
+/// Somebody on the network records a call and sends it again, immediately or later.
 #[test]
 fn a_copied_call_is_refused() {
     for later_ms in [0, 500, 1000, 1001, 5000] {
@@ -102,9 +103,10 @@
     }
 }
 
-/// An answer to one call, passed off as that of another: a grant for the wrong claim.
+/// An answer to one call is passed off as the answer to another, such as a grant for the wrong
+/// claim.
 #[test]
-fn an_answer_fits_its_own_call_only() {
+fn answer_is_valid_for_its_own_call_only() {
     let reply = Reply::Ok(PeerAnswer::Settled);
     let answer = SealedAnswer::seal(&ours(), 1, &reply).expect("encodes");
     assert_eq!(answer.verify(&ours(), 1), Ok(()));
@@ -112,7 +114,7 @@
 }
 
 #[test]
-fn the_secret_does_not_print() {
+fn secret_is_not_printed() {
     assert_eq!(format!("{:?}", ours()), "FleetSecret(..)");
     assert!(FleetSecret::new("short").is_err());
 }
@@ -127,21 +129,21 @@
 
 proptest! {
     #[test]
-    fn no_text_breaks_the_decoders(text in ".{0,200}") {
+    fn decoders_do_not_panic_on_any_text(text in ".{0,200}") {
         let _ = serde_json::from_str::<SealedCall>(&text);
         let _ = serde_json::from_str::<PeerCall>(&text);
         let _ = serde_json::from_str::<Reply>(&text);
     }
 
     #[test]
-    fn no_changed_call_passes(at in 0..300usize, byte in 32u8..127) {
+    fn changed_call_does_not_verify(at in 0..300usize, byte in 32u8..127) {
         let mut text = serde_json::to_string(&sealed(1)).unwrap().into_bytes();
         let at = at % text.len();
         prop_assume!(text[at] != byte);
         text[at] = byte;
         if let Ok(call) = serde_json::from_slice::<SealedCall>(&text) {
-            // The last base64 digit has unused bits and the envelope's own fields may be renamed;
-            // whatever passes must still be the call that was signed.
+            // The last base64 digit has unused bits, and the envelope's own fields may be renamed.
+            // A call that passes must still have the signed body.
             if verify(&call, NOW_MS).is_ok() {
                 let signed = sealed(1);
                 prop_assert_eq!(call.body.get(), signed.body.get());
--- a/crates/peers/tests/fake_net.rs
+++ b/crates/peers/tests/fake_net.rs
@@ -1,4 +1,4 @@
-//! The in-process net: what each fault does to a call.
+//! Tests the effect of each fault of the in-process network on a call.
 
 use bluebell_base::prelude::*;
 use bluebell_peers::fakes::{FakeNet, NetFaults};
@@ -103,7 +103,7 @@
         let answer = outcome.answer.expect("answered");
         assert_eq!(answer.err().map(|error| error.verdict), verdict, "{name}");
         assert_eq!(outcome.served, served, "{name}");
-        // The timers may fire a little late, never early.
+        // The timers may fire slightly late, but never early.
         let near = took_ms..took_ms + 10;
         assert!(
             near.contains(&outcome.took_ms),
--- a/crates/peers/tests/sockets.rs
+++ b/crates/peers/tests/sockets.rs
@@ -1,4 +1,5 @@
-//! The peer interface over real sockets: signed calls, limits, unknown calls, refused connections.
+//! Tests the peer interface over real sockets: signed calls, limits, unknown calls and refused
+//! connections.
 
 use bluebell_base::prelude::*;
 use bluebell_bridge::{Bridge, Inbox};
@@ -11,7 +12,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const BOUND: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 const SECRET: &str = "a secret of the whole fleet";
 
 type Answer = Result<PeerAnswer, Error>;
@@ -49,14 +50,14 @@
         let taken = Rc::clone(&slot);
         let ret = Ret::new(move |answer| *taken.borrow_mut() = answer);
         port.call(&mut self.stakker, to, call, ret);
-        let end = Instant::now() + BOUND;
+        let end = Instant::now() + WAIT_TIMEOUT;
         loop {
             self.stakker.run(Instant::now(), false);
             self.inbox.drain(&mut self.stakker);
             if let Some(answer) = slot.borrow_mut().take() {
                 return answer;
             }
-            assert!(Instant::now() < end, "no answer within {BOUND:?}");
+            assert!(Instant::now() < end, "no answer within {WAIT_TIMEOUT:?}");
             std::thread::sleep(Duration::from_millis(1));
         }
     }
@@ -73,8 +74,8 @@
     })
 }
 
-/// Grants every claim and drops all other calls unanswered.
-fn granting() -> Fwd<Incoming> {
+/// Grants the claim of [`claim`] and drops all other calls unanswered.
+fn granting_claims() -> Fwd<Incoming> {
     Fwd::new(|incoming: Incoming| {
         if incoming.call == claim() {
             incoming
@@ -88,7 +89,7 @@
 fn a_call_is_answered_and_counted_on_both_sides() {
     let mut rig = Rig::open();
     let runtime = rig.runtime(|_| ());
-    let server = rig.server(&runtime, granting());
+    let server = rig.server(&runtime, granting_claims());
     let port = JsonRpcPeers::open(&runtime);
     for _ in 0..3 {
         let answer = rig.call(&port, server.address(), claim());
@@ -103,7 +104,7 @@
 fn a_call_that_the_node_drops_may_have_run() {
     let mut rig = Rig::open();
     let runtime = rig.runtime(|_| ());
-    let server = rig.server(&runtime, granting());
+    let server = rig.server(&runtime, granting_claims());
     let port = JsonRpcPeers::open(&runtime);
     let call = PeerCall::Config {
         have: ConfigVersion(3),
@@ -112,8 +113,8 @@
     assert_eq!(error.verdict, Verdict::MayHaveRun);
 }
 
-/// An undertaker's retry reaches a node whose peer has just died: nobody listens at its address,
-/// so the claim was certainly not made there. Cause: the list of VMs lags behind the death.
+/// A node calls a peer that has just crashed. Nothing listens at its address, so the claim was
+/// certainly not made there. The list of VMs lags behind, so it still contains the crashed node.
 #[test]
 fn a_refused_connection_is_not_run() {
     let mut rig = Rig::open();
@@ -127,8 +128,8 @@
     assert_eq!(error.kind, ErrorKind::Unavailable);
 }
 
-/// A peer takes the call and never answers: the caller learns within its timeout that it may have
-/// run. Cause: the peer's process is paused.
+/// A peer accepts the connection and never answers, for example because its process is paused.
+/// After its timeout the caller reports that the call may have run.
 #[test]
 fn a_silent_peer_may_have_run() {
     let mut rig = Rig::open();
@@ -141,7 +142,7 @@
 }
 
 #[test]
-fn another_secret_reaches_no_actor() {
+fn call_signed_with_another_secret_reaches_no_actor() {
     let mut rig = Rig::open();
     let theirs = rig.runtime(|settings| {
         settings.secret = FleetSecret::new("the secret of another fleet").expect("long enough");
@@ -150,7 +151,7 @@
     let server = rig.server(&ours, Fwd::panic("an unsigned call reached an actor"));
     let port = JsonRpcPeers::open(&theirs);
     let error = rig.call(&port, server.address(), claim()).unwrap_err();
-    // The refusal isn't signed by a peer, so it proves nothing.
+    // The refusal isn't signed by a peer, so it doesn't prove that nothing ran.
     assert_eq!(error.verdict, Verdict::MayHaveRun, "{error}");
     assert_eq!(ours.stats().refused(), 1);
 }
@@ -159,7 +160,7 @@
 fn a_call_over_the_limit_is_not_sent() {
     let mut rig = Rig::open();
     let small = rig.runtime(|settings| settings.max_body_bytes = Bytes(2048));
-    let server = rig.server(&small, granting());
+    let server = rig.server(&small, granting_claims());
     let port = JsonRpcPeers::open(&small);
     let call = PeerCall::Probe {
         card: bluebell_peers::NodeCard {
@@ -182,7 +183,7 @@
     let port = JsonRpcPeers::open(&large);
     let error = rig.call(&port, server.address(), call).unwrap_err();
     assert_eq!(error.verdict, Verdict::MayHaveRun, "{error}");
-    // The server lives on.
+    // The server continues to serve.
     let answer = rig.call(&port, server.address(), claim());
     assert_eq!(answer, Ok(PeerAnswer::Claim(ClaimAnswer::Granted)));
 }
@@ -191,10 +192,10 @@
 fn a_stopped_server_refuses_new_connections() {
     let mut rig = Rig::open();
     let runtime = rig.runtime(|_| ());
-    let server = rig.server(&runtime, granting());
+    let server = rig.server(&runtime, granting_claims());
     let address = server.address().clone();
     server.stop();
-    let end = Instant::now() + BOUND;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while std::net::TcpStream::connect(address.as_str()).is_ok() {
         assert!(Instant::now() < end, "still listening");
         std::thread::sleep(Duration::from_millis(5));
@@ -203,13 +204,13 @@
     assert!(rig.call(&port, &address, claim()).is_err());
 }
 
-/// Anybody on the network sends anything to the peer interface: it refuses and goes on serving.
+/// Arbitrary bodies from the network are refused, and the peer interface continues to serve.
 #[test]
 fn hostile_bodies_are_refused() {
     use std::io::{Read, Write};
     let mut rig = Rig::open();
     let runtime = rig.runtime(|settings| settings.max_body_bytes = Bytes(4096));
-    let server = rig.server(&runtime, granting());
+    let server = rig.server(&runtime, granting_claims());
     let large = format!("[{}]", "[".repeat(3000));
     let bodies = [
         "",
@@ -225,7 +226,7 @@
     ];
     for body in bodies {
         let mut stream = std::net::TcpStream::connect(server.address().as_str()).expect("connects");
-        stream.set_read_timeout(Some(BOUND)).expect("sets");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("sets");
         let head = format!(
             "POST / HTTP/1.1\r\nhost: x\r\nconnection: close\r\ncontent-type: application/json\r\ncontent-length: {}\r\n\r\n",
             body.len()
