--- a/crates/platform/src/appender/mod.rs
+++ b/crates/platform/src/appender/mod.rs
@@ -1,11 +1,11 @@
-//! Group commit for one stream: records handed in while an append is under way go together in
-//! the next one.
+//! Group commit for one stream: records submitted while an append is in progress are sent together
+//! in the next one.
 //!
-//! Terms: a *hand-in* is the records of one caller, which stay together and in order; a *batch*
-//! are the hand-ins of one append.
+//! Terms: a *submission* is the records of one call, which stay together and in order; a *batch* is
+//! the submissions of one append.
 //!
-//! Invariants: at most one append is under way; a hand-in is answered exactly once and is sent at
-//! most once; batches keep to the rate and size of the settings.
+//! Invariants: at most one append is in progress; a submission is answered exactly once and is sent
+//! at most once; batches stay within the rate and size of the settings.
 
 mod stats;
 
@@ -20,20 +20,20 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// Failures in a row from which on hand-ins are refused without being sent. One alone may be a
-/// broken connection; two are taken for an outage.
+/// The number of consecutive failures from which on submissions are refused without being sent. A
+/// single failure may be a broken connection; two are treated as an outage.
 const FAILURES_TO_BACK_OFF: u32 = 2;
 
-/// The limits of one appender.
+/// The settings of an appender.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AppenderSettings {
-    /// The most appends a second.
+    /// The maximum rate of appends.
     pub appends: PerSecond,
-    /// The most bytes of records in one append; a larger hand-in is refused.
+    /// The maximum size of the records in one append. A larger submission is refused.
     pub batch_bytes: Bytes,
-    /// The most bytes of records that may wait; hand-ins beyond are refused.
+    /// The maximum size of the records that wait. Submissions beyond it are refused.
     pub waiting_bytes: Bytes,
-    /// The pauses while appends fail.
+    /// The pauses during which submissions are refused while appends fail.
     pub backoff: BackoffSettings,
 }
 
@@ -56,16 +56,16 @@
     settings: AppenderSettings,
     bucket: TokenBucket,
     backoff: Backoff,
-    waiting: VecDeque<HandIn>,
+    waiting: VecDeque<Submission>,
     waiting_bytes: Bytes,
-    in_flight: Vec<HandIn>,
+    in_flight: Vec<Submission>,
     timer_set: bool,
     failures: u32,
-    closed_until_ms: MonoMs,
+    refuse_until_ms: MonoMs,
     stats: AppenderStats,
 }
 
-struct HandIn {
+struct Submission {
     records: Vec<Arc<str>>,
     count: u64,
     bytes: Bytes,
@@ -95,7 +95,7 @@
             in_flight: Vec::new(),
             timer_set: false,
             failures: 0,
-            closed_until_ms: MonoMs(0),
+            refuse_until_ms: MonoMs(0),
             stats: AppenderStats::default(),
         };
         actor!(core, Appender::init(appender), ret_nop!())
@@ -105,22 +105,22 @@
         Some(appender)
     }
 
-    /// Hands in records; answers the offset of their first, which the others follow.
+    /// Submits records. The answer is the offset of the first one, and the others follow it.
     ///
-    /// An error with [`Verdict::MayHaveRun`] leaves open whether they are in the log; with
-    /// [`Verdict::NotRun`] they are not, and never will be.
+    /// An error with [`Verdict::MayHaveRun`] means that the records may be in the log. With
+    /// [`Verdict::NotRun`] they are not in the log and will never be.
     pub fn append(&mut self, cx: CX![], records: Vec<Arc<str>>, ret: Ret<Result<Offset, Error>>) {
-        let hand_in = HandIn::new(records, ret);
-        if let Err(error) = self.admit(cx, &hand_in) {
+        let submission = Submission::new(records, ret);
+        if let Err(error) = self.admit(cx, &submission) {
             self.stats.refused += 1;
-            return hand_in.ret.ret(Err(error));
+            return submission.ret.ret(Err(error));
         }
-        self.waiting_bytes += hand_in.bytes;
-        self.waiting.push_back(hand_in);
+        self.waiting_bytes += submission.bytes;
+        self.waiting.push_back(submission);
         self.send_next(cx);
     }
 
-    /// The counters so far.
+    /// Returns the counters.
     pub fn stats(&mut self, _cx: CX![], ret: Ret<AppenderStats>) {
         ret.ret(AppenderStats {
             waiting: self.waiting.len() as u64,
@@ -129,25 +129,25 @@
         });
     }
 
-    fn admit(&self, cx: &Core, hand_in: &HandIn) -> Result<(), Error> {
-        if hand_in.count == 0 {
+    fn admit(&self, cx: &Core, submission: &Submission) -> Result<(), Error> {
+        if submission.count == 0 {
             return Err(Error::not_run(ErrorKind::Invalid, "no records to append"));
         }
-        if hand_in.bytes > self.settings.batch_bytes {
-            let message = format!("{} are too many for one append", hand_in.bytes);
+        if submission.bytes > self.settings.batch_bytes {
+            let message = format!("{} are too many for one append", submission.bytes);
             return Err(Error::not_run(ErrorKind::TooLarge, message));
         }
         let now_ms = self.timers.now_ms(cx);
-        if now_ms < self.closed_until_ms {
-            return Err(closed(self.closed_until_ms.since(now_ms)));
+        if now_ms < self.refuse_until_ms {
+            return Err(log_unreachable(self.refuse_until_ms.since(now_ms)));
         }
-        if self.waiting_bytes + hand_in.bytes > self.settings.waiting_bytes {
-            return Err(self.full());
+        if self.waiting_bytes + submission.bytes > self.settings.waiting_bytes {
+            return Err(self.queue_full());
         }
         Ok(())
     }
 
-    fn full(&self) -> Error {
+    fn queue_full(&self) -> Error {
         let per_second = self.settings.batch_bytes.0 as f64 * self.settings.appends.0;
         let wait_ms = self.waiting_bytes.0 as f64 / per_second.max(1.0) * 1000.0;
         Error::not_run(
@@ -190,12 +190,12 @@
             if batch_bytes + next.bytes > self.settings.batch_bytes {
                 break;
             }
-            let Some(mut hand_in) = self.waiting.pop_front() else {
+            let Some(mut submission) = self.waiting.pop_front() else {
                 break;
             };
-            batch_bytes += hand_in.bytes;
-            records.append(&mut hand_in.records);
-            self.in_flight.push(hand_in);
+            batch_bytes += submission.bytes;
+            records.append(&mut submission.records);
+            self.in_flight.push(submission);
         }
         self.waiting_bytes = self.waiting_bytes.saturating_sub(batch_bytes);
         self.stats.bytes += batch_bytes;
@@ -211,23 +211,24 @@
         self.send_next(cx);
     }
 
-    fn succeed(&mut self, batch: Vec<HandIn>, first: Offset) {
+    fn succeed(&mut self, batch: Vec<Submission>, first: Offset) {
         self.failures = 0;
         self.backoff.reset();
         let mut offset = first;
-        for hand_in in batch {
-            hand_in.ret.ret(Ok(offset));
-            offset.0 += hand_in.count;
+        for submission in batch {
+            submission.ret.ret(Ok(offset));
+            offset.0 += submission.count;
         }
     }
 
-    fn fail(&mut self, cx: CX![], batch: Vec<HandIn>, error: Error) {
+    fn fail(&mut self, cx: CX![], batch: Vec<Submission>, error: Error) {
         self.stats.count_failure(&error);
-        for hand_in in batch {
-            hand_in.ret.ret(Err(error.clone()));
+        for submission in batch {
+            submission.ret.ret(Err(error.clone()));
         }
         if error.kind == ErrorKind::Overloaded {
-            // The platform is up and names the wait; it binds those who wait here as well.
+            // The platform is reachable and states the wait, which also applies to the waiting
+            // submissions.
             let wait_ms = error
                 .retry_after_ms
                 .unwrap_or(self.settings.backoff.first_ms);
@@ -235,27 +236,28 @@
         }
         self.failures += 1;
         if self.failures >= FAILURES_TO_BACK_OFF {
-            self.close(cx);
+            self.refuse_all(cx);
         }
     }
 
-    /// Refuses all that waits, and hand-ins for a while.
+    /// Refuses all waiting submissions, and new ones until a pause has passed.
     ///
-    /// In an outage each append would hold its callers for a whole timeout, and all nodes' appends
-    /// would fall on the platform as it comes back. Refusing is certain (none of these was sent)
-    /// and answers at once with when to come back; the jittered pause spreads the nodes' tries.
-    fn close(&mut self, cx: CX![]) {
+    /// In an outage each append would hold its callers for a whole timeout, and the appends of all
+    /// nodes would reach the platform together when it recovers. A refusal is certain, since none
+    /// of these records was sent, and it is answered at once with a retry time. The jittered pause
+    /// spreads the nodes' attempts.
+    fn refuse_all(&mut self, cx: CX![]) {
         let pause_ms = self.backoff.next_delay();
-        self.closed_until_ms = self.timers.now_ms(cx) + pause_ms;
+        self.refuse_until_ms = self.timers.now_ms(cx) + pause_ms;
         self.waiting_bytes = Bytes::ZERO;
-        for hand_in in self.waiting.drain(..) {
+        for submission in self.waiting.drain(..) {
             self.stats.refused += 1;
-            hand_in.ret.ret(Err(closed(pause_ms)));
+            submission.ret.ret(Err(log_unreachable(pause_ms)));
         }
     }
 }
 
-impl HandIn {
+impl Submission {
     fn new(records: Vec<Arc<str>>, ret: Ret<Result<Offset, Error>>) -> Self {
         Self {
             count: records.len() as u64,
@@ -266,7 +268,7 @@
     }
 }
 
-fn closed(wait_ms: SpanMs) -> Error {
+fn log_unreachable(wait_ms: SpanMs) -> Error {
     Error::not_run(ErrorKind::Unavailable, "the log can't be reached").retry_after(wait_ms)
 }
 
--- a/crates/platform/src/appender/stats.rs
+++ b/crates/platform/src/appender/stats.rs
@@ -3,24 +3,24 @@
 use bluebell_base::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// What an appender did since it was spawned, and what waits now.
+/// The counters of an appender since it was spawned, and its current queue.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppenderStats {
-    /// Appends sent.
+    /// The number of appends sent.
     pub appends: u64,
-    /// Records in them.
+    /// The number of records in them.
     pub records: u64,
-    /// Bytes of those records.
+    /// The total size of those records.
     pub bytes: Bytes,
-    /// Hand-ins refused without being sent.
+    /// The number of submissions refused without being sent.
     pub refused: u64,
-    /// Appends that failed and did not take effect.
+    /// The number of appends that failed and did not take effect.
     pub not_run: u64,
-    /// Appends that failed and may have taken effect.
+    /// The number of appends that failed and may have taken effect.
     pub may_have_run: u64,
-    /// Hand-ins that wait.
+    /// The number of submissions that wait.
     pub waiting: u64,
-    /// Bytes of records that wait.
+    /// The total size of the records that wait.
     pub waiting_bytes: Bytes,
 }
 
--- a/crates/platform/src/backoff/mod.rs
+++ b/crates/platform/src/backoff/mod.rs
@@ -1,12 +1,12 @@
-//! Doubling delays with jitter for calls that are tried again.
+//! Exponential backoff with jitter for calls that are retried.
 //!
-//! A platform outage is seen by all nodes in the same moment. Without jitter they would all try
-//! again together, at each doubling and at the very instant the platform comes back, and throw it
-//! down once more. Each delay is therefore drawn uniformly from the upper half of the current
-//! step, from a generator seeded per node: after one or two failures the nodes' attempts are
-//! spread over the step, and once the cap is reached N nodes make N / (0.75 × cap) calls a second
-//! on average, however long the outage lasts. A success resets the step but not the phase, so
-//! nodes don't fall back into line afterwards either.
+//! All nodes notice a platform outage at the same time. Without jitter they would all retry
+//! together, at each doubling and at the very moment when the platform recovers, and overload it
+//! again. Each delay is thus drawn uniformly from the upper half of the current step, with a
+//! generator seeded per node. After one or two failures the nodes' attempts are spread over the
+//! step. Once the cap is reached, N nodes make N / (0.75 × cap) calls per second on average,
+//! however long the outage lasts. A success resets the step but not the phase, so the nodes don't
+//! synchronize afterwards either.
 //!
 //! Invariants: a delay is at least half its step and at most the cap.
 
@@ -14,7 +14,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// How delays grow.
+/// The settings of a backoff. Its steps double.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackoffSettings {
     /// The first step.
@@ -32,7 +32,7 @@
     }
 }
 
-/// The delays of one series of tries.
+/// The delays of one series of attempts.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     settings: BackoffSettings,
@@ -41,7 +41,7 @@
 }
 
 impl Backoff {
-    /// A series that has not failed yet.
+    /// Returns a series without failures.
     pub fn new(settings: BackoffSettings, seed: u64) -> Self {
         Self {
             settings,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The delay after one more failure.
+    /// Returns the delay after one more failure.
     pub fn next_delay(&mut self) -> SpanMs {
         let step_ms = self.step_ms.min(self.settings.cap_ms);
         self.step_ms = SpanMs(step_ms.0.saturating_mul(2));
@@ -58,12 +58,12 @@
         SpanMs(self.random.random_range(low_ms..=step_ms.0).max(1))
     }
 
-    /// Starts again from the first step.
+    /// Resets the series to the first step.
     pub fn reset(&mut self) {
         self.step_ms = self.settings.first_ms;
     }
 
-    /// `span_ms` varied by up to `share` of itself either way.
+    /// Returns `span_ms`, randomly increased or decreased by up to `share` of it.
     pub fn jitter(&mut self, span_ms: SpanMs, share: f64) -> SpanMs {
         let factor = 1.0 + self.random.random_range(-share..=share);
         SpanMs(span_ms.mul_f64(factor).0.max(1))
--- a/crates/platform/src/http/mod.rs
+++ b/crates/platform/src/http/mod.rs
@@ -1,7 +1,7 @@
-//! The HTTP client shared by the ports: one pool of kept-alive connections, blocking calls on the
-//! bridge's I/O threads, answers on the actor thread.
+//! The HTTP client shared by the ports: one pool of connections that are kept open, blocking calls
+//! on the bridge's I/O threads, and answers on the actor thread.
 //!
-//! Invariants: a call ends within its timeout; no call is sent a second time by this module.
+//! Invariants: a call ends within its timeout; this module never sends a call a second time.
 
 mod failure;
 
@@ -9,27 +9,29 @@
 
 use bluebell_base::prelude::*;
 use bluebell_bridge::Bridge;
-use failure::{of_body, of_status, of_transport};
+use failure::{body_error, status_error, transport_error};
 use serde::de::DeserializeOwned;
 use stakker::Ret;
 use std::fmt;
 use ureq::Agent;
 
-/// The largest answer that is read.
-const ANSWER_BYTES: u64 = 16 * 1024 * 1024;
-/// The largest body read with an error; what is longer doesn't come from the platform itself.
-const ERROR_BYTES: u64 = 64 * 1024;
-/// Idle connections kept to the platform.
-const IDLE_CONNECTIONS: usize = 8;
-/// The header in which the platform says when to come back, in whole seconds.
-const RETRY_AFTER: &str = "retry-after";
-
-/// How long calls may take.
+/// The maximum size of an answer, in bytes.
+const MAX_ANSWER_BYTES: u64 = 16 * 1024 * 1024;
+/// The maximum size of an error's body, in bytes. A longer body doesn't come from the platform
+/// itself.
+const MAX_ERROR_BYTES: u64 = 64 * 1024;
+/// The maximum number of idle connections to the platform.
+const MAX_IDLE_CONNECTIONS: usize = 8;
+/// The header with which the platform states the retry time, in whole seconds.
+const RETRY_AFTER_HEADER: &str = "retry-after";
+
+/// The timeouts of calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallTimeouts {
-    /// For opening a connection; shorter than `call_ms`.
+    /// The timeout for opening a connection. It is shorter than `call_ms`.
     pub connect_ms: SpanMs,
-    /// For the whole call, from its start on an I/O thread to the last byte of the answer.
+    /// The timeout of the whole call, from its start on an I/O thread to the last byte of the
+    /// answer.
     pub call_ms: SpanMs,
 }
 
@@ -42,7 +44,8 @@
     }
 }
 
-/// A client of the platform at one address; cheap to clone, all clones share their connections.
+/// A client of the platform at one address. It is cheap to clone, and all clones share their
+/// connections.
 #[derive(Clone)]
 pub struct PlatformClient {
     bridge: Bridge,
@@ -51,21 +54,21 @@
     authorization: Option<Arc<str>>,
 }
 
-/// One call, made on the actor thread and run on an I/O thread.
+/// A call, created on the actor thread and run on an I/O thread.
 #[derive(Debug)]
 pub(crate) struct HttpCall {
-    /// The path with its leading slash, made of characters that need no escaping.
+    /// The path with its leading slash. Its characters need no escaping.
     pub path: String,
-    /// Parameters behind the path.
+    /// The query parameters.
     pub query: Vec<(&'static str, String)>,
-    /// The JSON body of a POST; a GET has none.
+    /// The JSON body of a POST. `None` for a GET.
     pub body: Option<Vec<u8>>,
-    /// Whether the call changes anything.
+    /// The effect of the call on the platform.
     pub effect: Effect,
 }
 
 impl fmt::Debug for PlatformClient {
-    /// Leaves the credential out, so that no log or state dump shows it.
+    /// Omits the credential, so that it isn't printed in logs and state dumps.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("PlatformClient")
             .field("base", &self.base)
@@ -74,7 +77,7 @@
 }
 
 impl PlatformClient {
-    /// Opens a client; connections are made when first needed.
+    /// Opens a client. Connections are opened when first needed.
     pub fn open(
         bridge: Bridge,
         address: &Address,
@@ -85,7 +88,7 @@
             .http_status_as_error(false)
             .max_redirects(0)
             .proxy(None)
-            .max_idle_connections_per_host(IDLE_CONNECTIONS)
+            .max_idle_connections_per_host(MAX_IDLE_CONNECTIONS)
             .timeout_connect(Some(timeouts.connect_ms.into()))
             .timeout_global(Some(timeouts.call_ms.into()))
             .build();
@@ -97,7 +100,7 @@
         }
     }
 
-    /// Makes a call and gives its decoded answer to `ret`.
+    /// Makes a call and sends its decoded answer to `ret`.
     pub(crate) fn call<T>(&self, call: HttpCall, ret: Ret<Result<T, Error>>)
     where
         T: DeserializeOwned + Send + 'static,
@@ -120,7 +123,7 @@
     .retry_after(RETRY_AFTER_MS)
 }
 
-/// Whether `text` can stand in a path as it is.
+/// Returns true if `text` can be used in a path without escaping.
 pub(crate) fn is_path_text(text: &str) -> bool {
     let plain = |b: u8| b.is_ascii_alphanumeric() || b"._-/:@".contains(&b);
     !text.is_empty() && text.bytes().all(plain)
@@ -133,16 +136,16 @@
     call: &HttpCall,
 ) -> Result<T, Error> {
     let sent = send(agent, base, authorization, call);
-    let mut response = sent.map_err(|error| of_transport(call.effect, &error))?;
+    let mut response = sent.map_err(|error| transport_error(call.effect, &error))?;
     let status = response.status().as_u16();
     let retry_after_ms = retry_after(&response);
     if status != 200 {
-        let body = read_body(&mut response, ERROR_BYTES).unwrap_or_default();
-        return Err(of_status(call.effect, status, retry_after_ms, &body));
+        let body = read_body(&mut response, MAX_ERROR_BYTES).unwrap_or_default();
+        return Err(status_error(call.effect, status, retry_after_ms, &body));
     }
-    let body = read_body(&mut response, ANSWER_BYTES);
-    let body = body.map_err(|error| of_transport(call.effect, &error))?;
-    serde_json::from_slice(&body).map_err(|error| of_body(call.effect, &error))
+    let body = read_body(&mut response, MAX_ANSWER_BYTES);
+    let body = body.map_err(|error| transport_error(call.effect, &error))?;
+    serde_json::from_slice(&body).map_err(|error| body_error(call.effect, &error))
 }
 
 fn read_body(
@@ -181,7 +184,7 @@
 }
 
 fn retry_after(response: &ureq::http::Response<ureq::Body>) -> Option<SpanMs> {
-    let value = response.headers().get(RETRY_AFTER)?;
+    let value = response.headers().get(RETRY_AFTER_HEADER)?;
     let secs: u64 = value.to_str().ok()?.parse().ok()?;
     Some(SpanMs(secs.saturating_mul(1000)))
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,12 +1,12 @@
-//! What the platform offers, as trait objects: the append-only log, the rate-limited weight store
-//! and the lagging list of VMs, with their HTTP clients.
+//! The ports to the platform's services as trait objects, with their HTTP clients: the append-only
+//! log, the rate-limited weight store and the lagging list of VMs.
 //!
-//! Terms: a *stream* is one named sequence of log records with offsets; *retained* records are
-//! those the log still keeps; a *port* is the trait object through which actors reach one of the
+//! Terms: a *stream* is a named sequence of log records with offsets; *retained* records are those
+//! that the log still keeps; a *port* is the trait object through which actors call one of the
 //! platform's services without blocking. A [`Tail`] follows a stream, an [`Appender`] appends to
 //! one in batches; both are actors on top of a [`LogPort`].
 //!
-//! Invariants: an append whose answer is lost is reported as `MayHaveRun`, never as `NotRun`;
+//! Invariants: an append whose answer is lost is reported as `MayHaveRun`, never as `NotRun`; the
 //! offsets of a stream only grow.
 
 pub mod appender;
--- a/crates/platform/src/log_port/http.rs
+++ b/crates/platform/src/log_port/http.rs
@@ -1,4 +1,4 @@
-//! The log service over HTTP.
+//! Calls the log service over HTTP.
 
 use super::{LogPort, ReadBatch};
 use crate::http::{Effect, HttpCall, PlatformClient, is_path_text};
@@ -21,7 +21,7 @@
     pub offset: Offset,
 }
 
-/// The log service at the platform's address.
+/// The port to the log service over HTTP.
 #[derive(Debug)]
 pub struct HttpLog {
     client: PlatformClient,
@@ -55,7 +55,7 @@
             effect: Effect::Appends,
         };
         let offset = move |answer: Option<Result<AppendAnswer, Error>>| {
-            // No answer at all means that the node goes away; `ret` then tells its user the same.
+            // `None` means that the node is stopping. Dropping `ret` then reports that to its user.
             if let Some(answer) = answer {
                 ret.ret(answer.map(|answer| answer.offset));
             }
--- a/crates/platform/src/log_port/mod.rs
+++ b/crates/platform/src/log_port/mod.rs
@@ -1,10 +1,10 @@
-//! The log port: appending to a stream and reading it from an offset.
+//! The log port, which appends to a stream and reads it from an offset on.
 //!
-//! Terms: the *first retained* offset is the oldest that can still be read; the *end* is the
-//! offset the next record will get.
+//! Terms: the *first retained* offset is the oldest one that can still be read; the *end* is the
+//! offset that the next record will receive.
 //!
-//! Invariants: the records of one append get consecutive offsets; a read returns records in
-//! offset order without gaps from its first one on.
+//! Invariants: the records of one append receive consecutive offsets; a read returns records in
+//! offset order and without gaps after its first one.
 
 mod http;
 
@@ -14,34 +14,35 @@
 use serde::{Deserialize, Serialize};
 use stakker::{Core, Ret};
 
-/// One record as read back from a stream.
+/// A record of a stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogRecord {
-    /// Its position.
+    /// The position of the record.
     pub offset: Offset,
-    /// When the log took it, by the log's own clock.
+    /// The time when the log accepted the record, by the log's own clock.
     pub appended_ms: WallMs,
-    /// What was appended, as text (JSON by the users of the port).
+    /// The appended text. The users of the port append JSON.
     pub body: Arc<str>,
 }
 
-/// The answer to one read.
+/// The answer to a read.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadBatch {
-    /// The oldest offset still kept; larger than the asked one where records have expired.
+    /// The oldest retained offset. It is larger than the requested one if records have expired.
     pub first_retained: Offset,
-    /// The offset the next appended record will get.
+    /// The offset that the next appended record will receive.
     pub end: Offset,
-    /// Records from the asked offset (or the first retained one) on; may be fewer than exist.
+    /// The records from the requested offset, or from the first retained one, on. There may be more
+    /// in the stream.
     pub records: Vec<LogRecord>,
 }
 
-/// The platform's log service.
+/// The port to the platform's log service.
 pub trait LogPort {
-    /// Appends `records` to `stream` together; answers the offset of the first.
+    /// Appends `records` to `stream` together. The answer is the offset of the first one.
     ///
-    /// An error with [`Verdict::MayHaveRun`] leaves open whether the records are in the log; the
-    /// caller finds out by reading for its operation ids.
+    /// An error with [`Verdict::MayHaveRun`] means that the records may be in the log. The caller
+    /// determines this by reading the stream and searching for its operation ids.
     fn append(
         &self,
         core: &mut Core,
@@ -50,7 +51,8 @@
         ret: Ret<Result<Offset, Error>>,
     );
 
-    /// Reads `stream` from `from`, at most about `limit_bytes` of records, at least one if any.
+    /// Reads `stream` from `from` on. Returns at most about `limit_bytes` of records, and at least
+    /// one record if there is any.
     fn read(
         &self,
         core: &mut Core,
--- a/crates/platform/src/pace/mod.rs
+++ b/crates/platform/src/pace/mod.rs
@@ -1,50 +1,50 @@
-//! A token bucket: how often something may be done, and when it may be done next.
+//! A token bucket, which limits the rate of an action and computes when it may be done next.
 //!
-//! Invariants: over any span, no more than `burst` plus the rate times the span are taken; time
-//! that seems to go back adds nothing.
+//! Invariants: over any span, at most `burst` plus the rate times the span tokens are taken; time
+//! that seems to go backwards adds none.
 
 use bluebell_base::prelude::*;
 
-/// A bucket that fills at a steady rate up to a burst.
+/// A token bucket that fills at a constant rate up to the burst size.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     rate: PerSecond,
     burst: f64,
-    held: f64,
+    tokens: f64,
     filled_ms: u64,
 }
 
-/// The wait told where the rate is zero and no token will ever come.
-const NEVER_MS: u64 = 60_000;
+/// The wait returned if the rate is zero and no token will ever be available, in milliseconds.
+const ZERO_RATE_WAIT_MS: u64 = 60_000;
 
-/// By how much a token may be short of whole from the rounding of many small fills.
-const ROUNDING: f64 = 1e-6;
+/// The tolerance for a token that is incomplete due to the rounding of many small fills.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 impl TokenBucket {
-    /// A full bucket at the instant `now_ms`, in milliseconds of any clock.
+    /// Returns a bucket that is full at `now_ms`, in milliseconds of any clock.
     pub fn new(rate: PerSecond, burst: f64, now_ms: u64) -> Self {
         Self {
             rate,
             burst: burst.max(1.0),
-            held: burst.max(1.0),
+            tokens: burst.max(1.0),
             filled_ms: now_ms,
         }
     }
 
-    /// Takes one token, or tells how long to wait for it.
+    /// Takes one token.
     ///
     /// # Errors
-    /// The time until a token will be there, at least 1 ms.
+    /// The time until a token will be available, at least 1 ms.
     pub fn take(&mut self, now_ms: u64) -> Result<(), SpanMs> {
         self.fill(now_ms);
-        if self.held >= 1.0 - ROUNDING {
-            self.held = (self.held - 1.0).max(0.0);
+        if self.tokens >= 1.0 - ROUNDING_TOLERANCE {
+            self.tokens = (self.tokens - 1.0).max(0.0);
             return Ok(());
         }
         if self.rate.0 <= 0.0 {
-            return Err(SpanMs(NEVER_MS));
+            return Err(SpanMs(ZERO_RATE_WAIT_MS));
         }
-        let wait_ms = (1.0 - self.held) / self.rate.0 * 1000.0;
+        let wait_ms = (1.0 - self.tokens) / self.rate.0 * 1000.0;
         Err(SpanMs((wait_ms.ceil() as u64).max(1)))
     }
 
@@ -52,6 +52,6 @@
         let passed_ms = now_ms.saturating_sub(self.filled_ms);
         self.filled_ms = self.filled_ms.max(now_ms);
         let more = self.rate.0 * passed_ms as f64 / 1000.0;
-        self.held = (self.held + more).min(self.burst);
+        self.tokens = (self.tokens + more).min(self.burst);
     }
 }
--- a/crates/platform/src/tail/mod.rs
+++ b/crates/platform/src/tail/mod.rs
@@ -1,11 +1,11 @@
-//! Following one stream of the log from an offset on.
+//! Follows one stream of the log from an offset on.
 //!
-//! Terms: a batch is *cut* when the read's size limit left retained records behind it; a *gap*
-//! are records that retention took before they were read.
+//! Terms: a batch is *cut* if the size limit of the read left further retained records; a *gap* is
+//! a range of records that expired before they were read.
 //!
-//! Invariants: records are forwarded in offset order, each once, without a hole that no
-//! [`TailEvent::Gap`] named; at most one read is under way; health edges alternate, beginning
-//! with up.
+//! Invariants: records are forwarded in offset order, each once, and every missing record is
+//! covered by a [`TailEvent::Gap`]; at most one read is in progress; `Down` and `Up` events
+//! alternate, and the initial state is up.
 
 mod stats;
 
@@ -18,18 +18,18 @@
 use stakker::{ActorOwn, CX, Core, Fwd, Ret, actor, fwd_to, ret_nop, ret_to};
 use std::rc::Rc;
 
-/// The share of the polling interval by which it varies either way, so that nodes started
-/// together don't go on reading together.
+/// The fraction of the polling interval by which the interval varies in each direction, so that
+/// nodes that started together don't keep reading together.
 const INTERVAL_JITTER: f64 = 0.25;
 
-/// How a stream is followed.
+/// The settings of a tail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TailSettings {
-    /// The time between reads of a stream that is read up to its end.
+    /// The interval between reads of a stream that was read up to its end.
     pub interval_ms: SpanMs,
-    /// The most bytes of records asked for in one read.
+    /// The maximum size of the records requested in one read.
     pub limit_bytes: Bytes,
-    /// The delays between reads while they fail.
+    /// The delays between reads while reads fail.
     pub backoff: BackoffSettings,
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// Where following begins.
+/// The position in a stream at which a tail begins.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StreamPosition {
     /// The stream.
@@ -52,31 +52,32 @@
     pub offset: Offset,
 }
 
-/// What following a stream brings.
+/// An event of a tail.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TailEvent {
-    /// A read succeeded; also sent where it brought nothing new, so that its user knows that at
-    /// `asked_ms` the stream held no records beyond those forwarded, if `end` is reached.
+    /// A read succeeded. This is also sent if there were no new records, so that the user knows
+    /// that at `asked_ms` the stream contained no records beyond those forwarded, if `end` is
+    /// reached.
     Records {
-        /// The next records, in order; may be empty.
+        /// The next records, in order. May be empty.
         records: Vec<LogRecord>,
-        /// The oldest offset still kept.
+        /// The oldest retained offset.
         first_retained: Offset,
-        /// The offset the next appended record will get.
+        /// The offset that the next appended record will receive.
         end: Offset,
-        /// When the read was sent.
+        /// The time when the read was sent.
         asked_ms: MonoMs,
     },
-    /// Records from `from` up to, not including, `to` expired unread.
+    /// Records from `from` up to but not including `to` expired before they were read.
     Gap {
         /// The first lost offset.
         from: Offset,
-        /// The offset behind the last lost one.
+        /// The offset after the last lost one.
         to: Offset,
     },
-    /// Reads began to fail; they go on being tried.
+    /// Reads have begun to fail. They are retried.
     Down(Error),
-    /// Reads succeed again.
+    /// Reads have begun to succeed again.
     Up,
 }
 
@@ -96,11 +97,12 @@
 
 enum State {
     Waiting(Option<Subscription>),
-    Reading { asked_ms: MonoMs, again: bool },
+    Reading { asked_ms: MonoMs, read_again: bool },
 }
 
 impl Tail {
-    /// Spawns an actor that follows the stream from the position on and reads at once.
+    /// Spawns an actor that follows the stream from the position on. The first read is sent at
+    /// once.
     pub fn spawn(
         core: &mut Core,
         log: Rc<dyn LogPort>,
@@ -131,20 +133,20 @@
         Some(tail)
     }
 
-    /// Reads at once, such as after an append of one's own.
+    /// Reads at once, for example after an append by this node.
     ///
-    /// A read that is under way may have been answered before that append, so one more follows
-    /// it. During an outage the backoff stands: otherwise every append that fails on every node
-    /// would add a read to a platform that is trying to come back.
+    /// A read in progress may have been answered before that append, so another one follows it.
+    /// During an outage the backoff still applies. Otherwise every failed append of every node
+    /// would add a read to a platform that is recovering.
     pub fn poll_soon(&mut self, cx: CX![]) {
         match &mut self.state {
-            State::Reading { again, .. } => *again = true,
+            State::Reading { read_again, .. } => *read_again = true,
             State::Waiting(_) if self.down => (),
             State::Waiting(_) => self.read(cx),
         }
     }
 
-    /// The counters so far.
+    /// Returns the counters.
     pub fn stats(&mut self, _cx: CX![], ret: Ret<TailStats>) {
         ret.ret(TailStats {
             next: self.next,
@@ -167,7 +169,7 @@
         self.stats.reads += 1;
         self.state = State::Reading {
             asked_ms: self.timers.now_ms(cx),
-            again: false,
+            read_again: false,
         };
         let ret = ret_to!([cx], on_read() as (Result<ReadBatch, Error>));
         let limit_bytes = self.settings.limit_bytes;
@@ -175,23 +177,27 @@
     }
 
     fn on_read(&mut self, cx: CX![], answer: Option<Result<ReadBatch, Error>>) {
-        let State::Reading { asked_ms, again } = self.state else {
+        let State::Reading {
+            asked_ms,
+            read_again,
+        } = self.state
+        else {
             return;
         };
         self.state = State::Waiting(None);
         let answer = answer.unwrap_or_else(|| Err(dropped()));
-        match answer.and_then(|batch| self.check(batch)) {
-            Ok(batch) => self.take(cx, batch, asked_ms, again),
+        match answer.and_then(|batch| self.check_end(batch)) {
+            Ok(batch) => self.accept(cx, batch, asked_ms, read_again),
             Err(error) => self.fail(cx, error),
         }
     }
 
-    /// Refuses an answer whose end lies before what was read already.
+    /// Refuses an answer whose end is before the next offset to read.
     ///
-    /// Such an answer comes from a replica that lost records or from another log at the same
-    /// address. Following it would hand out offsets twice for different records; it shows as an
-    /// outage instead, until the log's end is back where it was.
-    fn check(&self, batch: ReadBatch) -> Result<ReadBatch, Error> {
+    /// Such an answer comes from a replica that lost records, or from another log at the same
+    /// address. Following it would forward the same offsets again with different records. It is
+    /// treated as an outage until the log's end has reached the previous position again.
+    fn check_end(&self, batch: ReadBatch) -> Result<ReadBatch, Error> {
         if batch.end >= self.next {
             return Ok(batch);
         }
@@ -202,7 +208,7 @@
         Err(Error::not_run(ErrorKind::Upstream, message))
     }
 
-    fn take(&mut self, cx: CX![], batch: ReadBatch, asked_ms: MonoMs, again: bool) {
+    fn accept(&mut self, cx: CX![], batch: ReadBatch, asked_ms: MonoMs, read_again: bool) {
         self.backoff.reset();
         if std::mem::take(&mut self.down) {
             self.events.fwd(TailEvent::Up);
@@ -224,9 +230,9 @@
             end: batch.end,
             asked_ms,
         });
-        // Without progress an immediate read would spin, so the interval applies then.
+        // Without progress an immediate read would repeat in a tight loop, so the interval applies.
         let cut = self.next < batch.end && self.next > before;
-        if cut || again {
+        if cut || read_again {
             return self.read(cx);
         }
         let interval_ms = self.settings.interval_ms;
@@ -234,7 +240,7 @@
         self.wait(cx, wait_ms);
     }
 
-    /// The records that continue where the last ones ended; the rest of the answer is dropped.
+    /// Returns the records that continue the forwarded sequence and drops the others.
     fn in_order(&mut self, mut records: Vec<LogRecord>) -> Vec<LogRecord> {
         records.retain(|record| {
             let fits = record.offset == self.next;
@@ -249,7 +255,7 @@
     fn fail(&mut self, cx: CX![], error: Error) {
         self.stats.failures += 1;
         if !std::mem::replace(&mut self.down, true) {
-            log::warn!("reading stream {} fails: {error}", self.stream);
+            log::warn!("stream {} can't be read: {error}", self.stream);
             self.events.fwd(TailEvent::Down(error));
         }
         let wait_ms = self.backoff.next_delay();
--- a/crates/platform/src/tail/stats.rs
+++ b/crates/platform/src/tail/stats.rs
@@ -4,24 +4,24 @@
 use bluebell_base::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// What a tail did since it was spawned, and where it stands.
+/// The counters of a tail since it was spawned, and its position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TailStats {
-    /// Reads sent.
+    /// The number of reads sent.
     pub reads: u64,
-    /// Reads that failed.
+    /// The number of reads that failed.
     pub failures: u64,
-    /// Records forwarded.
+    /// The number of records forwarded.
     pub records: u64,
-    /// Bytes of those records.
+    /// The total size of those records.
     pub bytes: Bytes,
-    /// Records that expired unread.
+    /// The number of records that expired before they were read.
     pub lost: u64,
-    /// The offset of the next record to be forwarded.
+    /// The offset of the next record to forward.
     pub next: Offset,
-    /// The stream's end as last seen.
+    /// The end of the stream as of the last read.
     pub end: Offset,
-    /// Whether reads fail now.
+    /// True while reads fail.
     pub down: bool,
 }
 
--- a/crates/platform/src/vms/http.rs
+++ b/crates/platform/src/vms/http.rs
@@ -1,4 +1,4 @@
-//! The list of VMs over HTTP.
+//! Fetches the list of VMs over HTTP.
 
 use super::{VmEntry, VmListPort};
 use crate::http::{Effect, HttpCall, PlatformClient};
@@ -6,7 +6,7 @@
 use stakker::{Core, Ret};
 use std::rc::Rc;
 
-/// The list of VMs at the platform's address.
+/// The port to the list of VMs over HTTP.
 #[derive(Debug)]
 pub struct HttpVmList {
     client: PlatformClient,
--- a/crates/platform/src/vms/mod.rs
+++ b/crates/platform/src/vms/mod.rs
@@ -1,7 +1,8 @@
-//! The platform's list of VMs: which live, which are about to leave. It lags behind the truth.
+//! The platform's list of VMs, which states for each VM whether it is live or about to leave. The
+//! list lags behind the actual state.
 //!
-//! Invariants: an entry is evidence, not proof; whoever acts on it says in a comment why a late
-//! or wrong entry does no harm.
+//! Invariants: an entry is evidence, not proof; code that acts on an entry explains in a comment
+//! why a late or wrong entry does no harm.
 
 mod http;
 
@@ -11,21 +12,21 @@
 use serde::{Deserialize, Serialize};
 use stakker::{Core, Ret};
 
-/// What the list says of a VM.
+/// The state of a VM according to the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
-    /// It serves.
+    /// The VM serves.
     Live,
-    /// It will be stopped; no new work for it.
+    /// The VM will be stopped and must receive no new work.
     Leaving,
 }
 
-/// What runs on the VM.
+/// The role of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmRole {
-    /// A node of this system; its address is that of its peer interface.
+    /// A node of this system. Its address is that of its peer interface.
     Node,
     /// A model engine.
     Engine,
@@ -36,21 +37,22 @@
 /// One entry of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmEntry {
-    /// The VM's name, the same as the upstream's name for upstream VMs.
+    /// The name of the VM, which for the VM of an upstream is also the upstream's name.
     pub name: VmName,
-    /// What runs on it.
+    /// The role of the VM.
     pub role: VmRole,
-    /// Where it is reached.
+    /// The address that the VM is reached at.
     pub address: Address,
-    /// The deployment it is part of; for replicas of a plain service, the service's name.
+    /// The deployment that the VM belongs to. For replicas of a plain service it is the service's
+    /// name.
     pub deployment: DeploymentName,
-    /// Its failure domain.
+    /// The failure domain of the VM.
     pub domain: DomainName,
-    /// Its state as the platform last saw it.
+    /// The state of the VM as the platform last observed it.
     pub state: VmState,
 }
 
-/// The platform's list of VMs.
+/// The port to the platform's list of VMs.
 pub trait VmListPort {
     /// Fetches the whole list.
     fn list(&self, core: &mut Core, ret: Ret<Result<Vec<VmEntry>, Error>>);
--- a/crates/platform/src/weights/http.rs
+++ b/crates/platform/src/weights/http.rs
@@ -1,4 +1,4 @@
-//! The weight store over HTTP.
+//! Queries the weight store over HTTP.
 
 use super::{WeightInfo, WeightPort};
 use crate::http::{Effect, HttpCall, PlatformClient, is_path_text};
@@ -6,7 +6,7 @@
 use stakker::{Core, Ret};
 use std::rc::Rc;
 
-/// The weight store at the platform's address.
+/// The port to the weight store over HTTP.
 #[derive(Debug)]
 pub struct HttpWeights {
     client: PlatformClient,
--- a/crates/platform/src/weights/mod.rs
+++ b/crates/platform/src/weights/mod.rs
@@ -1,7 +1,7 @@
-//! The weight store: what versions of which model it holds, and how fast it may be read.
+//! The weight store: the model versions that it holds and the rate at which they may be read.
 //!
-//! Engines fetch weights themselves when ordered to load; the store's rate limit is shared by the
-//! fleet, so orders to load are paced by whoever holds the duty for them.
+//! Engines fetch weights themselves when they are ordered to load them. The fleet shares the
+//! store's rate limit, so the node with the duty for load orders paces them.
 
 mod http;
 
@@ -11,22 +11,23 @@
 use serde::{Deserialize, Serialize};
 use stakker::{Core, Ret};
 
-/// What the store says of one model version.
+/// The store's description of one model version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WeightInfo {
     /// The model.
     pub model: ModelName,
     /// The version of its weights or adapter.
     pub version: u64,
-    /// Its size.
+    /// The size of the weights or adapter.
     pub size_bytes: Bytes,
-    /// The rate all readers together may take.
+    /// The maximum rate of all readers together, in bytes per second.
     pub limit_bytes: PerSecond,
 }
 
-/// The platform's weight store.
+/// The port to the platform's weight store.
 pub trait WeightPort {
-    /// Looks up one model version; an error of kind `NotFound` where it does not exist.
+    /// Returns the description of one model version. The error is of kind `NotFound` if the version
+    /// doesn't exist.
     fn info(
         &self,
         core: &mut Core,
--- a/crates/platform/tests/actors/main.rs
+++ b/crates/platform/tests/actors/main.rs
@@ -1,4 +1,4 @@
-//! The actors that use the log, against the stand-in platform under virtual time.
+//! Tests the actors that use the log against the stand-in platform under virtual time.
 
 mod appender;
 mod support;
--- a/crates/platform/tests/actors/support.rs
+++ b/crates/platform/tests/actors/support.rs
@@ -1,4 +1,4 @@
-//! A platform in process under virtual time, for the tests of the actors that use it.
+//! An in-process platform under virtual time for tests of the actors that use it.
 
 use bluebell_base::prelude::*;
 use bluebell_platform::{LogPort, StreamPosition, Tail, TailEvent, TailSettings, TailStats};
@@ -40,9 +40,9 @@
         self.timers.now_ms(&self.stakker).0
     }
 
-    /// Lets virtual time pass, timer by timer.
-    pub fn pass(&mut self, span_ms: u64) {
-        // Calls made since the last step belong to the present instant.
+    /// Advances virtual time, timer by timer.
+    pub fn advance(&mut self, span_ms: u64) {
+        // Calls made since the last step run at the current time.
         self.stakker.run(self.stakker.now(), false);
         let end = self.start + Duration::from_millis(self.now_ms() + span_ms);
         while let Some(next) = self.stakker.next_expiry().filter(|next| *next <= end) {
@@ -51,7 +51,7 @@
         self.stakker.run(end, false);
     }
 
-    /// Puts records into the log behind the clients' back.
+    /// Appends records to the log without using a client.
     pub fn put(&mut self, bodies: &[&str]) {
         let records: Vec<Arc<str>> = bodies.iter().map(|&body| body.into()).collect();
         let now_ms = WallMs(self.now_ms());
@@ -61,7 +61,7 @@
             .unwrap();
     }
 
-    pub fn strike(&mut self, operation: Operation, calls: u32, fault: Fault) {
+    pub fn inject_fault(&mut self, operation: Operation, calls: u32, fault: Fault) {
         let rule = FaultRule {
             operation: Some(operation),
             client: None,
@@ -71,7 +71,7 @@
         self.model.borrow_mut().faults.rules.push(rule);
     }
 
-    pub fn tail(&mut self, from: u64, settings: TailSettings, seed: u64) -> Followed {
+    pub fn tail(&mut self, from: u64, settings: TailSettings, seed: u64) -> RecordedTail {
         let events: Rc<RefCell<Vec<TailEvent>>> = Rc::default();
         let own = Rc::clone(&events);
         let at = StreamPosition {
@@ -81,7 +81,7 @@
         let (log, timers) = (Rc::clone(&self.log), self.timers.clone());
         let fwd = Fwd::new(move |event| own.borrow_mut().push(event));
         let actor = Tail::spawn(&mut self.stakker, log, timers, at, settings, seed, fwd);
-        Followed {
+        RecordedTail {
             actor,
             events,
             from,
@@ -89,28 +89,28 @@
     }
 }
 
-/// A tail and all it forwarded.
-pub struct Followed {
+/// A tail with all events that it forwarded.
+pub struct RecordedTail {
     pub actor: ActorOwn<Tail>,
     events: Rc<RefCell<Vec<TailEvent>>>,
     from: u64,
 }
 
-impl Followed {
-    /// What was forwarded, without offsets: bodies, `gap 3..5`, `down`, `up`.
-    pub fn seen(&self) -> Vec<String> {
-        let mut seen = Vec::new();
+impl RecordedTail {
+    /// Returns the forwarded events without offsets: bodies, `gap 3..5`, `down`, `up`.
+    pub fn forwarded(&self) -> Vec<String> {
+        let mut forwarded = Vec::new();
         for event in self.events.borrow().iter() {
             match event {
                 TailEvent::Records { records, .. } => {
-                    seen.extend(records.iter().map(|record| record.body.to_string()));
+                    forwarded.extend(records.iter().map(|record| record.body.to_string()));
                 }
-                TailEvent::Gap { from, to } => seen.push(format!("gap {}..{}", from.0, to.0)),
-                TailEvent::Down(_) => seen.push("down".into()),
-                TailEvent::Up => seen.push("up".into()),
+                TailEvent::Gap { from, to } => forwarded.push(format!("gap {}..{}", from.0, to.0)),
+                TailEvent::Down(_) => forwarded.push("down".into()),
+                TailEvent::Up => forwarded.push("up".into()),
             }
         }
-        seen
+        forwarded
     }
 
     pub fn stats(&self, world: &mut World) -> TailStats {
@@ -118,7 +118,7 @@
         let filled = Rc::clone(&slot);
         let ret = Ret::new(move |stats| *filled.borrow_mut() = stats);
         call!([self.actor], stats(ret));
-        world.pass(0);
+        world.advance(0);
         slot.take().unwrap()
     }
 
@@ -126,7 +126,8 @@
         self.events.borrow().clone()
     }
 
-    /// Checks the invariants of following; returns the offset behind the last one accounted for.
+    /// Checks the invariants of a tail. Returns the offset after the last record that was forwarded
+    /// or reported lost.
     pub fn verify(&self) -> u64 {
         let mut next = self.from;
         let mut down = false;
--- a/crates/platform/tests/pace.rs
+++ b/crates/platform/tests/pace.rs
@@ -1,13 +1,14 @@
-//! The token bucket and the backoff on their own.
+//! Tests the token bucket and the backoff by themselves.
 
 use bluebell_base::prelude::*;
 use bluebell_platform::{Backoff, BackoffSettings, TokenBucket};
 use proptest::prelude::*;
 
 proptest! {
-    /// No more than the burst and the rate allow, and a told wait is enough.
+    /// No more tokens are taken than the burst and the rate allow, and a returned wait is
+    /// sufficient.
     #[test]
-    fn bucket_keeps_its_rate(
+    fn bucket_stays_within_its_rate(
         rate in 0.1f64..500.0,
         burst in 1.0f64..20.0,
         steps_ms in prop::collection::vec(0u64..200, 1..300),
@@ -26,9 +27,9 @@
         }
     }
 
-    /// Delays double up to the cap and lie in the upper half of their step.
+    /// Delays double up to the cap and are in the upper half of their step.
     #[test]
-    fn backoff_keeps_its_steps(seed in any::<u64>()) {
+    fn backoff_delays_stay_within_their_steps(seed in any::<u64>()) {
         let settings = BackoffSettings { first_ms: SpanMs(100), cap_ms: SpanMs(1_000) };
         let mut backoff = Backoff::new(settings, seed);
         for round in 0..2 {
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn clock_that_goes_back_fills_nothing() {
+fn clock_that_goes_backwards_adds_no_tokens() {
     let mut bucket = TokenBucket::new(PerSecond(1.0), 1.0, 1_000);
     assert_eq!(bucket.take(1_000), Ok(()));
     assert_eq!(bucket.take(0), Err(SpanMs(1_000)));
