--- a/crates/stand-ins/src/engine/fake/calls/mod.rs
+++ b/crates/stand-ins/src/engine/fake/calls/mod.rs
@@ -7,7 +7,7 @@
 use crate::engine::model::{EngineModel, ExportedKv};
 use crate::faults::{CallFault, EventFaults};
 use bluebell_base::prelude::*;
-use bluebell_upstreams::http::{CALL_TIMEOUT, SILENCE};
+use bluebell_upstreams::http::{CALL_TIMEOUT, MAX_SILENCE};
 use bluebell_upstreams::{Event, EventBody, Generate, Resume};
 use stakker::{Core, Fwd, Ret};
 use std::cell::RefCell;
@@ -130,7 +130,7 @@
             inner.freezes
         };
         let engine = self.clone();
-        core.timer_add(core.now() + SILENCE, move |stakker| {
+        core.timer_add(core.now() + MAX_SILENCE, move |stakker| {
             if engine.inner.borrow().freezes == freeze {
                 engine.give_up_readers(stakker);
             }
@@ -279,7 +279,7 @@
         fail: impl Fn(Error) -> Event + 'static,
     ) {
         let events = events.clone();
-        core.timer_add(core.now() + SILENCE, move |_| {
+        core.timer_add(core.now() + MAX_SILENCE, move |_| {
             if let Some(events) = events.take() {
                 events.fwd(fail(silent()));
             }
--- a/crates/upstreams/src/http/exchange/mod.rs
+++ b/crates/upstreams/src/http/exchange/mod.rs
@@ -19,7 +19,7 @@
 
 /// The longest silence of an upstream during an exchange. Engines send comments when they have no
 /// event to send.
-pub const SILENCE: Duration = Duration::from_secs(10);
+pub const MAX_SILENCE: Duration = Duration::from_secs(10);
 
 /// The maximum size of an answer to a short call, in bytes.
 const ANSWER_LIMIT_BYTES: u64 = 16 << 20;
@@ -87,8 +87,8 @@
         .http_status_as_error(false)
         .max_redirects(0)
         .timeout_connect(Some(CONNECT_TIMEOUT))
-        .timeout_per_read(Some(SILENCE))
-        .timeout_per_write(Some(SILENCE))
+        .timeout_per_read(Some(MAX_SILENCE))
+        .timeout_per_write(Some(MAX_SILENCE))
         .max_idle_connections(MAX_IDLE_CONNECTIONS)
         .max_idle_connections_per_host(MAX_IDLE_CONNECTIONS_PER_UPSTREAM)
         .input_buffer_size(BUFFER_BYTES)
--- a/crates/upstreams/src/http/mod.rs
+++ b/crates/upstreams/src/http/mod.rs
@@ -5,7 +5,7 @@
 //!
 //! Invariants: an error is `NotRun` only if no connection could be made or the upstream itself
 //! reported that in its error body; once a byte may have been sent, it is `MayHaveRun`. No exchange
-//! lasts longer than its own time limit, and none is silent for longer than [`exchange::SILENCE`],
+//! lasts longer than its own time limit, and none is silent for longer than [`exchange::MAX_SILENCE`],
 //! so that no I/O thread is held forever.
 //!
 //! A stream holds an I/O thread for its whole duration. The node opens one [`Bridge`] with as many
@@ -21,5 +21,5 @@
 pub mod wire;
 
 pub use engine::HttpEngine;
-pub use exchange::{CALL_TIMEOUT, CONNECT_TIMEOUT, SILENCE};
+pub use exchange::{CALL_TIMEOUT, CONNECT_TIMEOUT, MAX_SILENCE};
 pub use service::{HttpService, IDEMPOTENCY_KEY_HEADER, REQUEST_ID_HEADER, VERDICT_HEADER};
