--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -5,7 +5,7 @@
 /// Settings of the callers' interface.
 #[derive(Clone, Debug)]
 pub struct CallersSettings {
-    /// Where to listen, `ip:port`; port 0 lets the system choose.
+    /// The address to listen at, `ip:port`. Port 0 lets the system choose a port.
     pub address: Address,
     /// The maximum number of calls for work in progress at once. Further calls are refused as not
     /// run.
@@ -48,7 +48,7 @@
 /// Settings of the administration API.
 #[derive(Clone)]
 pub struct AdminSettings {
-    /// Where to listen, `ip:port`; port 0 lets the system choose.
+    /// The address to listen at, `ip:port`. Port 0 lets the system choose a port.
     pub address: Address,
     /// The operators' bearer credential.
     pub credential: Arc<str>,
