--- a/crates/entry/src/callers/deliver.rs
+++ b/crates/entry/src/callers/deliver.rs
@@ -214,7 +214,7 @@
     }
 
     fn admitted(&mut self, request: RequestId) {
-        log::debug!("{}: is {request}", self.request);
+        log::debug!("{}: admitted as {request}", self.request);
         self.request = request.to_string().into();
     }
 
