--- a/scripts/mixed-builds.sh
+++ b/scripts/mixed-builds.sh
@@ -60,7 +60,7 @@
 
 # Counts warnings that a message of a peer or a stored record could not be read.
 unread() {
-    cat "$@" 2>/dev/null | grep -vE '^\{' |
+    cat "$@" 2>/dev/null | grep -vE '^\{|io: ' |
         grep -ciE "can't be (read|parsed)|malformed|truncated|unknown kind" || true
 }
 
@@ -135,7 +135,12 @@
     fleet=$!
     until grep -q ready "$RUN_DIR/own-$mix.out"; do kill -0 "$fleet" && sleep 0.2; done
     sleep 3
-    before=$(keyed 0 "mixed-$mix")
+    # Until the key's shard has an owner, keyed requests are refused as not run.
+    for _ in $(seq 60); do
+        before=$(keyed 0 "mixed-$mix")
+        grep -q '"verdict":"not_run"' <<<"$before" || break
+        sleep 0.5
+    done
     load "$THIS" "1${#mix}1"
     pids=()
     case $mix in upgrade | downgrade)
